--- a/admit/class.go
+++ b/admit/class.go
@@ -5,30 +5,31 @@
 // class is the state of one class of requests.
 type class struct {
 	name      string
-	reserved  float64 // share of the host's bounds, 0 to 1
-	bytes     int
+	reserved  float64   // share of the host's bounds, 0 to 1
+	bytes     int       // of the request bodies in flight
 	deadlines deadlines // of the requests in flight
 	callers   *callers
-	admitted  rate
-	refused   rate
+	admitted  decayingRate
+	refused   decayingRate
 	pressure  pressure
-	legs      legTimes
-	backlog
+	legs      legLatencies
+	capacityEstimator
 }
 
 func newClass(name string) *class {
-	return &class{name: name, callers: newCallers(), legs: newLegTimes(), backlog: newBacklog()}
+	return &class{name: name, callers: newCallers(), legs: newLegLatencies(), capacityEstimator: newCapacityEstimator()}
 }
 
-func (cl *class) count() int { return len(cl.deadlines) }
+func (cl *class) inFlight() int { return len(cl.deadlines) }
 
-// controlInterval is how often capacity and fair level are reckoned anew:
-// often enough to answer a burst within a screen's deadline, seldom enough
-// that an interval at 100 requests a second still holds ten answers.
+// controlInterval is how often capacities and rate limits are updated: often
+// enough to react to a burst within an interactive request's deadline, and
+// long enough to hold some answers of a busy class.
 const controlInterval = 100 * time.Millisecond
 
-// control runs what is due. It is called by Admit and Done, so it needs no
-// timer; after an idle time one run stands for all that were missed.
+// control updates the estimates and limits when an interval has passed. It is
+// called by Admit and Done instead of by a timer; after an idle time one run
+// covers all missed intervals.
 func (c *Controller) control(now time.Time) {
 	if c.nextControl.IsZero() {
 		c.nextControl = now.Add(controlInterval)
@@ -40,9 +41,9 @@
 	}
 	elapsed := controlInterval + late
 	for _, cl := range c.classes {
-		cl.pressure.age(elapsed)
-		cl.reckonCapacity(elapsed, cl.pressure.value())
-		cl.callers.reckonLevel(now, cl.admitted.perSecond(now), cl.pressure.value())
+		cl.pressure.decay(elapsed)
+		cl.updateCapacity(elapsed, cl.pressure.value())
+		cl.callers.updateRateLimit(now, cl.admitted.perSecond(now), cl.pressure.value())
 	}
 	c.nextControl = now.Add(controlInterval)
 }
--- a/admit/pressure.go
+++ b/admit/pressure.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// pressureMemory is how long a leg counts. Twice the control interval: the
-	// pressure follows a burst within it.
-	pressureMemory = 200 * time.Millisecond
-	// keptLegs are kept for longer where legs are few, as those of exports
-	// that run for seconds: two queries' worth.
-	keptLegs = 40
-	// pressureExpiry forgets even these when no leg has ended for so long.
+	// pressureTimeConstant is how fast old legs lose weight: twice the
+	// control interval, so that a burst shows within two of them.
+	pressureTimeConstant = 200 * time.Millisecond
+	// minKeptLegs keep their weight for longer where legs are few, as on
+	// routes whose legs run for seconds.
+	minKeptLegs = 40
+	// pressureExpiry discards all samples when no leg has ended for this long.
 	pressureExpiry = 5 * time.Second
-	// leastLegs keeps a few slow legs from being taken for pressure.
-	leastLegs = 10
+	// minPressureLegs is the number of samples below which no value is given.
+	minPressureLegs = 10
 )
 
 // pressure is the legs' mean wait for a slot at their homes over their mean
-// service time. Unlike a latency it needs no idle baseline to compare with,
-// and it says the same for long and short work.
+// service time. Unlike a latency it needs no unloaded baseline, and values of
+// short and long work can be compared.
 type pressure struct {
-	wait, service, legs float64
-	quiet               time.Duration // since a leg was added
+	wait, service, legs float64       // decayed sums, in seconds, and count
+	idle                time.Duration // since a leg was added
 }
 
 func (p *pressure) add(leg *Leg) {
@@ -30,18 +30,18 @@
 	p.wait += leg.Wait.Seconds()
 	p.service += max(0, (leg.Time - leg.Wait).Seconds())
 	p.legs++
-	p.quiet = 0
+	p.idle = 0
 }
 
-func (p *pressure) age(elapsed time.Duration) {
-	p.quiet += elapsed
-	if p.quiet >= pressureExpiry {
+func (p *pressure) decay(elapsed time.Duration) {
+	p.idle += elapsed
+	if p.idle >= pressureExpiry {
 		*p = pressure{}
 		return
 	}
-	keep := max(0, 1-elapsed.Seconds()/pressureMemory.Seconds())
+	keep := max(0, 1-elapsed.Seconds()/pressureTimeConstant.Seconds())
 	if p.legs > 0 {
-		keep = max(keep, min(1, keptLegs/p.legs))
+		keep = max(keep, min(1, minKeptLegs/p.legs))
 	}
 	p.wait *= keep
 	p.service *= keep
@@ -50,14 +50,15 @@
 
 // meanService is the mean service time of a leg; zero when not known.
 func (p *pressure) meanService() time.Duration {
-	if p.legs < leastLegs {
+	if p.legs < minPressureLegs {
 		return 0
 	}
 	return seconds(p.service / p.legs)
 }
 
+// value is zero when too few legs were sampled.
 func (p *pressure) value() float64 {
-	if p.legs < leastLegs || p.service <= 0 {
+	if p.legs < minPressureLegs || p.service <= 0 {
 		return 0
 	}
 	return p.wait / p.service
--- a/admit/rate.go
+++ b/admit/rate.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// rateMemory is the time constant of rates: long enough that a caller's
-// Poisson noise at ten requests a second is under a quarter, short enough
-// that a flood shows within the second.
-const rateMemory = 2 * time.Second
+// rateTimeConstant is how fast old events lose weight: slowly enough to
+// smooth the Poisson noise of a caller with few requests a second, fast
+// enough that a flood shows within a second.
+const rateTimeConstant = 2 * time.Second
 
-// rate is an exponentially decaying count of events.
-type rate struct {
-	count float64
-	at    time.Time
+// decayingRate is an exponentially decaying count of events.
+type decayingRate struct {
+	count     float64
+	updatedAt time.Time
 }
 
-func (r *rate) add(now time.Time, n float64) {
+func (r *decayingRate) add(now time.Time, n float64) {
 	r.count = r.recent(now) + n
-	r.at = now
+	r.updatedAt = now
 }
 
-// recent is about the number of events within the last rateMemory.
-func (r *rate) recent(now time.Time) float64 {
+// recent is about the number of events within the last rateTimeConstant.
+func (r *decayingRate) recent(now time.Time) float64 {
 	if r.count == 0 {
 		return 0
 	}
-	return r.count * math.Exp(-max(0, now.Sub(r.at).Seconds())/rateMemory.Seconds())
+	return r.count * math.Exp(-max(0, now.Sub(r.updatedAt).Seconds())/rateTimeConstant.Seconds())
 }
 
-func (r *rate) perSecond(now time.Time) float64 { return r.recent(now) / rateMemory.Seconds() }
+func (r *decayingRate) perSecond(now time.Time) float64 {
+	return r.recent(now) / rateTimeConstant.Seconds()
+}
