--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,14 +1,12 @@
 // Package quarantine finds requests that crash the backend servers that run
 // them, and refuses them on every entry host.
 //
-// A Tracker, at the home of a service, knows which requests run on each
-// backend server and decides when a server has died. A Book keeps the
-// suspicion that follows, clears the innocent, and holds the verdicts. Hosts
-// share verdicts, not suspicion: the home has the whole evidence on its
-// service, successes included, and half of it would condemn innocents.
+// A Tracker, at the home of a service, knows which requests run on each backend
+// server and detects crashes. A Book collects the crashes, clears requests that
+// succeed, and holds the verdicts. Hosts share verdicts but not suspicion, since
+// only the home has all the evidence on its service, successes included.
 //
-// Both are pure (time is passed in; no goroutine, socket or log) and have a
-// plain mutex, so many goroutines may use them.
+// Both take the time as a parameter, do no I/O, and are safe for concurrent use.
 package quarantine
 
 import (
@@ -20,28 +18,29 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint names requests that are the same work: route, caller and body.
+// Fingerprint identifies equal requests: those with the same route, caller and
+// body.
 type Fingerprint uint64
 
-// FingerprintOf makes the fingerprint. Lengths are part of it, so that route
-// and caller can't run into each other.
+// FingerprintOf hashes a request. The lengths of route and caller are hashed as
+// well, so that the boundary between the two is unambiguous.
 func FingerprintOf(route, caller string, body []byte) Fingerprint {
-	var d xxhash.Digest
-	d.Reset()
+	var digest xxhash.Digest
+	digest.Reset()
 	for _, part := range []string{route, caller} {
-		_, _ = d.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part))))
-		_, _ = d.WriteString(part)
+		_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, uint64(len(part))))
+		_, _ = digest.WriteString(part)
 	}
-	_, _ = d.Write(body)
-	return Fingerprint(d.Sum64())
+	_, _ = digest.Write(body)
+	return Fingerprint(digest.Sum64())
 }
 
 const fingerprintDigits = 16
 
-// String is the form that operators use in overrides: 16 hexadecimal digits.
+// String returns 16 hexadecimal digits, the form that overrides use.
 func (f Fingerprint) String() string { return fmt.Sprintf("%0*x", fingerprintDigits, uint64(f)) }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses the form that String returns.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || len(s) != fingerprintDigits {
--- a/quarantine/lostquery.go
+++ b/quarantine/lostquery.go
@@ -6,76 +6,75 @@
 )
 
 const (
-	// leastLost is how many services a query must have lost for the loss of
-	// all its legs to be evidence by itself.
-	leastLost = 3
-	// confirmFor is the time in which other requests must be answered by the
-	// same services. Servers that lost their power all together take longer
-	// than that to come back.
-	confirmFor = time.Second
-	// maxLost bounds the queries that wait for their confirmation.
-	maxLost = 64
+	// minLostServices is how many services a query must have lost for the loss
+	// of all its legs to be evidence by itself.
+	minLostServices = 3
+	// confirmWindow is the time within which the same services must answer
+	// other requests. Servers that lost power take longer to come back.
+	confirmWindow = time.Second
+	// maxLostQueries bounds the queries that wait for confirmation.
+	maxLostQueries = 64
 )
 
 // lostQuery is a query of which every leg was lost with its server.
 type lostQuery struct {
 	fingerprint Fingerprint
 	at          time.Time
-	services    []string
-	lost        int // services at first
+	unconfirmed []string // services that have not answered another request since
+	lost        int      // number of services that were lost
 }
 
-// LostQuery is told, at the entry host of a query, that every leg of it was
-// lost with its server.
+// LostQuery is called at the entry host of a query when every leg was lost with
+// its server. A request that crashes one server of each of its services at once
+// would crash the others too before a second event can be recorded, so this
+// loss is evidence by itself if
 //
-// Load: a request that crashes one server of each service at once, 20 to 92
-// of them. Harm prevented: waiting for a second event would cost the other
-// server of every service, and with them the product. Reason for the limits:
-// an innocent query beside it loses the legs that share a server with it, not
-// all of them; connections that go silent lose legs too, so this host must
-// have seen one of the deaths itself, as home of one of the services; a loss
-// of power takes the other servers too, so within a second half of these
-// services must answer requests that started after it.
+//   - this host has recorded a crash with the request among the suspects, since
+//     legs are also lost with connections that go silent;
+//   - half of the services answer other requests within confirmWindow, which
+//     rules out a power loss.
+//
+// A request that only ran beside it loses some of its legs, but not all.
 func (b *Book) LostQuery(now time.Time, f Fingerprint, services []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(services) < leastLost || b.verdicts.Contains(f) {
+	if len(services) < minLostServices || b.verdicts.Contains(f) {
 		return
 	}
-	b.lost = slices.DeleteFunc(b.lost, func(q *lostQuery) bool { return now.Sub(q.at) > confirmFor })
-	if len(b.lost) >= maxLost {
+	b.lostQueries = slices.DeleteFunc(b.lostQueries, func(q *lostQuery) bool { return now.Sub(q.at) > confirmWindow })
+	if len(b.lostQueries) >= maxLostQueries {
 		return
 	}
-	b.lost = append(b.lost, &lostQuery{fingerprint: f, at: now, services: slices.Clone(services), lost: len(services)})
+	b.lostQueries = append(b.lostQueries, &lostQuery{fingerprint: f, at: now, unconfirmed: slices.Clone(services), lost: len(services)})
 }
 
-// LegAnswered is told, at the entry host of a query, of each answered leg, and
-// when the query started: an answer from before the loss says nothing. It
-// returns the fingerprint that is condemned by it.
+// LegAnswered is called at the entry host of a query for each answered leg. A
+// query that started before the loss of another one confirms nothing. It
+// returns the fingerprint that is quarantined now, if any.
 func (b *Book) LegAnswered(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, q := range b.lost {
-		if q.fingerprint == f || started.Before(q.at) || now.Sub(q.at) > confirmFor {
+	for i, q := range b.lostQueries {
+		if q.fingerprint == f || started.Before(q.at) || now.Sub(q.at) > confirmWindow {
 			continue
 		}
-		q.services = slices.DeleteFunc(q.services, func(s string) bool { return s == service })
-		if 2*len(q.services) > q.lost || b.suspects[q.fingerprint] == 0 {
+		q.unconfirmed = slices.DeleteFunc(q.unconfirmed, func(s string) bool { return s == service })
+		if 2*len(q.unconfirmed) > q.lost || b.suspects[q.fingerprint] == 0 {
 			continue
 		}
-		b.lost = slices.Delete(b.lost, i, i+1)
-		b.recordLost(now, q)
+		b.lostQueries = slices.Delete(b.lostQueries, i, i+1)
+		b.addLostQueryVerdict(now, q)
 		return q.fingerprint, true
 	}
 	return 0, false
 }
 
-func (b *Book) recordLost(now time.Time, q *lostQuery) {
-	news := News{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
-	b.absorbed.Add(news, struct{}{})
+func (b *Book) addLostQueryVerdict(now time.Time, q *lostQuery) {
+	e := News{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
+	b.knownEvidence.Add(e, struct{}{})
 	until := now.Add(time.Duration(b.cfg.Policy.QuarantineFor))
-	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []News{news}})
+	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []News{e}})
 }
 
-// lostQueryServer stands in the news for the servers of all the query's legs.
+// lostQueryServer stands in the evidence for the servers of all the query's legs.
 const lostQueryServer = "every leg"
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// News tells other hosts of a verdict: one death that it rests on. It has the
+// News is one crash that a verdict rests on, as hosts exchange it. It has the
 // fields of the membership's SuspectRequestNews.
 type News struct {
 	Fingerprint Fingerprint
 	Server      string
 	Incarnation uint64
-	InFlight    uint32 // how many requests shared the blame
+	InFlight    uint32 // number of suspects of the crash
 }
 
-// ToNews lists the verdicts in force, for hosts that do not know them yet.
+// ToNews lists the evidence of the verdicts in force, to be sent to other hosts.
 func (b *Book) ToNews(now time.Time) []News {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var news []News
+	var all []News
 	for _, f := range b.verdicts.Keys() {
 		if v, ok := b.verdicts.Peek(f); ok && !now.After(v.until) {
-			news = append(news, v.evidence...)
+			all = append(all, v.evidence...)
 		}
 	}
-	return news
+	return all
 }
 
-// Absorb takes another host's verdicts over and returns what was new, to be
-// passed on. Each piece of evidence counts once: after the verdict has
-// expired, a late or repeated piece does not bring it back.
-func (b *Book) Absorb(now time.Time, news []News) []News {
+// Absorb adds the verdicts of another host and returns the evidence that was
+// new. Each piece of evidence counts once: a late or repeated one does not
+// revive an expired verdict.
+func (b *Book) Absorb(now time.Time, received []News) []News {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var fresh []News
-	for _, n := range news {
-		if b.absorbed.Contains(n) {
+	for _, e := range received {
+		if b.knownEvidence.Contains(e) {
 			continue
 		}
-		b.absorbed.Add(n, struct{}{})
-		fresh = append(fresh, n)
-		v, ok := b.verdicts.Peek(n.Fingerprint)
+		b.knownEvidence.Add(e, struct{}{})
+		fresh = append(fresh, e)
+		v, ok := b.verdicts.Peek(e.Fingerprint)
 		if !ok {
 			v = verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
 		}
-		v.evidence = append(slices.Clone(v.evidence), n)
-		b.verdicts.Add(n.Fingerprint, v)
+		v.evidence = append(slices.Clone(v.evidence), e)
+		b.verdicts.Add(e.Fingerprint, v)
 	}
 	return fresh
 }
 
-// Entry is one verdict for the operators' view.
+// Entry is one verdict as operators see it.
 type Entry struct {
 	Fingerprint Fingerprint `json:"-"`
 	Hex         string      `json:"fingerprint"`
@@ -59,7 +59,7 @@
 	Servers     []string    `json:"servers"`
 }
 
-// Entries lists the verdicts in force, the newest last.
+// Entries lists the verdicts in force, oldest first.
 func (b *Book) Entries(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,8 +70,8 @@
 			continue
 		}
 		entry := Entry{Fingerprint: f, Hex: f.String(), Since: v.since, Until: v.until}
-		for _, n := range v.evidence {
-			entry.Servers = append(entry.Servers, n.Server)
+		for _, e := range v.evidence {
+			entry.Servers = append(entry.Servers, e.Server)
 		}
 		entries = append(entries, entry)
 	}
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -12,130 +12,130 @@
 )
 
 const (
-	// togetherFor is the time in which several connections must break to be
-	// one event. A dying process closes all its sockets within a millisecond;
-	// the rest is the way of the news.
-	togetherFor = 50 * time.Millisecond
-	// severalBreaks is how many connections make "several": one alone breaks
-	// for many reasons on a living server.
-	severalBreaks = 2
-	// lingerFor is how long a request that was cancelled or timed out may
+	// simultaneousWindow is the time within which several connections must
+	// break to count as one event. A crashing process closes all its sockets
+	// within a millisecond; the rest is for scheduling and the network.
+	simultaneousWindow = 50 * time.Millisecond
+	// minSimultaneousBreaks is how many connections must break; a single one
+	// breaks for many reasons while its server runs.
+	minSimultaneousBreaks = 2
+	// lingerTime is how long a request that was cancelled or timed out may
 	// still run on its server, and so still crash it.
-	lingerFor = 2 * time.Second
-	// breakMemory is how long a broken attempt waits for the word on its
-	// server: a restart takes seconds.
-	breakMemory = 10 * time.Second
-	// maxLingering bounds what is kept for each server.
-	maxLingering = 256
+	lingerTime = 2 * time.Second
+	// brokenTTL is how long a broken attempt waits for news of its server; a
+	// restart takes seconds.
+	brokenTTL = 10 * time.Second
+	// maxEndedAttempts bounds the ended attempts kept for each server.
+	maxEndedAttempts = 256
 )
 
-// Server names one life of a backend server.
+// Server identifies one incarnation of a backend server.
 type Server struct {
 	Name        string
 	Service     string
 	Incarnation uint64
 }
 
-// Death is a server taken for dead, with the requests that may have done it.
+// Death is a presumed crash of a server, with the requests that may have
+// caused it.
 type Death struct {
 	Server
 	// Blamed are the requests that ran, or may still have run, on the server.
 	Blamed []Blame
 }
 
-// Blame is one request's part in a death.
+// Blame is one request that may have caused a crash.
 type Blame struct {
 	Fingerprint Fingerprint
 	Started     time.Time // of the latest attempt on the server
 }
 
-// Event is what a Tracker found out; at most one of its parts is set.
+// Event is what a Tracker detected; at most one field is set.
 type Event struct {
 	Died *Death
-	// Lives is a server that was taken for dead and has answered since.
+	// Lives is a server that was presumed crashed and has answered since.
 	Lives *Server
 }
 
-// Tracker knows what runs on the backend servers that this host sends to.
+// Tracker knows which attempts run on the backend servers that this host sends to.
 type Tracker struct {
 	mu       sync.Mutex
-	servers  map[string]*tracked
-	attempts map[ident.AttemptID]*run
+	servers  map[string]*trackedServer
+	attempts map[ident.AttemptID]*attempt
 }
 
-type tracked struct {
-	server  Server
-	running map[ident.AttemptID]*run
-	past    []*run // ended with an unknown outcome, may still run
-	broken  []*run // their connection broke; the server's fate is open
-	dead    bool
-	diedAt  time.Time // of the last death
+type trackedServer struct {
+	server    Server
+	running   map[ident.AttemptID]*attempt
+	lingering []*attempt // ended with an unknown outcome, may still run
+	broken    []*attempt // their connection broke; whether the server crashed is open
+	crashed   bool
+	crashedAt time.Time // of the last crash
 }
 
-type run struct {
+type attempt struct {
 	fingerprint Fingerprint
-	on          *tracked
-	started     time.Time
-	ended       time.Time
+	on          *trackedServer
+	startedAt   time.Time
+	endedAt     time.Time
 }
 
-// NewTracker makes a tracker that knows no server.
+// NewTracker makes a tracker without servers.
 func NewTracker() *Tracker {
-	return &Tracker{servers: make(map[string]*tracked), attempts: make(map[ident.AttemptID]*run)}
+	return &Tracker{servers: make(map[string]*trackedServer), attempts: make(map[ident.AttemptID]*attempt)}
 }
 
-// Start notes that an attempt was sent to a server.
-func (t *Tracker) Start(now time.Time, attempt ident.AttemptID, server Server, f Fingerprint) {
+// Start records that an attempt was sent to a server.
+func (t *Tracker) Start(now time.Time, id ident.AttemptID, server Server, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[server.Name]
 	if on == nil {
-		on = &tracked{server: server, running: make(map[ident.AttemptID]*run)}
+		on = &trackedServer{server: server, running: make(map[ident.AttemptID]*attempt)}
 		t.servers[server.Name] = on
 	}
-	r := &run{fingerprint: f, on: on, started: now}
-	on.running[attempt] = r
-	t.attempts[attempt] = r
+	a := &attempt{fingerprint: f, on: on, startedAt: now}
+	on.running[id] = a
+	t.attempts[id] = a
 }
 
-// End notes how an attempt ended, and reports a server's death or life that
+// End records how an attempt ended, and returns the crash or recovery that
 // follows from it. incarnation is the one that a reply named; zero: none.
 //
-// What counts as a death. Load: one connection of a living server breaks, or a
-// device between the ends resets several. Harm prevented: innocents are blamed
-// for deaths that did not happen; or a crash is recognised only after the
-// restart, and the request meanwhile takes the next server. A new incarnation
-// is proof. Two connections broken within 50 ms, or a broken one and then no
-// new one, is taken for a death at once, and taken back by the answer of the same
-// incarnation to an attempt that was sent after it: the answers to earlier ones may
-// have been sent before the crash. One break alone counts for nothing.
-func (t *Tracker) End(now time.Time, attempt ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
+// A new incarnation proves a crash. Several connections that break at once, or
+// one that breaks and can't be replaced, are presumed to be one, so that the
+// request is not sent to the next server before the restart. That is retracted
+// when the same incarnation answers an attempt that was sent later; answers to
+// earlier ones may have been sent before the crash. A single break counts for
+// nothing, since connections also break while their server runs.
+func (t *Tracker) End(now time.Time, id ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.attempts[attempt]
-	if r == nil {
+	a := t.attempts[id]
+	if a == nil {
 		return Event{}
 	}
-	delete(t.attempts, attempt)
-	delete(r.on.running, attempt)
-	r.ended = now
-	on := r.on
+	delete(t.attempts, id)
+	delete(a.on.running, id)
+	a.endedAt = now
+	on := a.on
 	switch {
 	case outcome == result.OutcomeRan || outcome == result.OutcomeRefused:
-		return on.answered(now, r, incarnation)
+		return on.handleReply(now, a, incarnation)
 	case fault == backend.FaultBroken:
-		return on.broke(now, r)
+		return on.handleBreak(now, a)
 	case fault == backend.FaultUnreachable:
-		return on.unreachable(now)
+		return on.handleUnreachable(now)
 	case outcome == result.OutcomeUnknown:
-		on.past = appendBounded(on.past, r)
+		on.lingering = appendBounded(on.lingering, a)
 	}
 	return Event{}
 }
 
-// Unreachable notes that a new connection to the server was refused. After
-// each break the shell should dial the server once, at once: with a single
-// request in flight nothing else tells a death from a break before the restart.
+// Unreachable records that a new connection to the server was refused. The
+// server should be dialled once right after each break: with a single request
+// in flight, only that tells a crash from a broken connection before the
+// restart.
 func (t *Tracker) Unreachable(now time.Time, name string) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,11 +143,11 @@
 	if on == nil {
 		return Event{}
 	}
-	return on.unreachable(now)
+	return on.handleUnreachable(now)
 }
 
-// Incarnation notes what the host list, or a server's own word, says of the
-// server's life.
+// Incarnation records the server's incarnation that the host list, or the
+// server itself, reports.
 func (t *Tracker) Incarnation(now time.Time, name string, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +155,7 @@
 	if on == nil {
 		return Event{}
 	}
-	return on.renewed(now, incarnation)
+	return on.handleIncarnation(now, incarnation)
 }
 
 // InFlight reports whether a request with the fingerprint runs on any server
@@ -163,104 +163,104 @@
 func (t *Tracker) InFlight(service string, f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.attempts {
-		if r.fingerprint == f && r.on.server.Service == service {
+	for _, a := range t.attempts {
+		if a.fingerprint == f && a.on.server.Service == service {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *tracked) answered(now time.Time, r *run, incarnation uint64) Event {
+func (s *trackedServer) handleReply(now time.Time, a *attempt, incarnation uint64) Event {
 	if incarnation != 0 && incarnation != s.server.Incarnation {
-		return s.renewed(now, incarnation)
+		return s.handleIncarnation(now, incarnation)
 	}
-	// The same life answers, so the breaks before the attempt were of connections only.
-	s.broken = slices.DeleteFunc(s.broken, func(b *run) bool { return !b.ended.After(r.started) })
-	if !s.dead || s.diedAt.After(r.started) {
+	// The same incarnation answers, so the breaks before the attempt were no crash.
+	s.broken = slices.DeleteFunc(s.broken, func(b *attempt) bool { return !b.endedAt.After(a.startedAt) })
+	if !s.crashed || s.crashedAt.After(a.startedAt) {
 		return Event{}
 	}
-	s.dead = false
+	s.crashed = false
 	server := s.server
 	return Event{Lives: &server}
 }
 
-func (s *tracked) broke(now time.Time, r *run) Event {
-	s.broken = appendBounded(s.broken, r)
-	together := 0
+func (s *trackedServer) handleBreak(now time.Time, a *attempt) Event {
+	s.broken = appendBounded(s.broken, a)
+	simultaneous := 0
 	for _, b := range s.broken {
-		if now.Sub(b.ended) <= togetherFor {
-			together++
+		if now.Sub(b.endedAt) <= simultaneousWindow {
+			simultaneous++
 		}
 	}
-	if together < severalBreaks {
+	if simultaneous < minSimultaneousBreaks {
 		return Event{}
 	}
-	return s.die(now)
+	return s.markCrashed(now)
 }
 
-func (s *tracked) unreachable(now time.Time) Event {
-	s.forget(now)
+func (s *trackedServer) handleUnreachable(now time.Time) Event {
+	s.expire(now)
 	if len(s.broken) == 0 {
 		return Event{}
 	}
-	return s.die(now)
+	return s.markCrashed(now)
 }
 
-func (s *tracked) renewed(now time.Time, incarnation uint64) Event {
+func (s *trackedServer) handleIncarnation(now time.Time, incarnation uint64) Event {
 	if incarnation == s.server.Incarnation {
 		return Event{}
 	}
-	event := s.die(now)
+	event := s.markCrashed(now)
 	s.server.Incarnation = incarnation
-	s.dead = false
-	s.past = nil
+	s.crashed = false
+	s.lingering = nil
 	s.broken = nil
 	return event
 }
 
-// die reports the death of this life, once. Attempts that still run here are
-// blamed too: their ends have not arrived yet.
-func (s *tracked) die(now time.Time) Event {
-	s.forget(now)
-	if s.dead {
+// markCrashed reports the crash of this incarnation, once. Attempts that still
+// run are suspects too: their ends have not arrived yet.
+func (s *trackedServer) markCrashed(now time.Time) Event {
+	s.expire(now)
+	if s.crashed {
 		return Event{}
 	}
-	s.dead, s.diedAt = true, now
-	death := &Death{Server: s.server}
-	for _, r := range s.running {
-		death.blame(r)
+	s.crashed, s.crashedAt = true, now
+	crash := &Death{Server: s.server}
+	for _, a := range s.running {
+		crash.addSuspect(a)
 	}
-	for _, r := range slices.Concat(s.broken, s.past) {
-		death.blame(r)
+	for _, a := range slices.Concat(s.broken, s.lingering) {
+		crash.addSuspect(a)
 	}
-	slices.SortFunc(death.Blamed, func(a, b Blame) int {
-		return cmp.Or(a.Started.Compare(b.Started), cmp.Compare(a.Fingerprint, b.Fingerprint))
+	slices.SortFunc(crash.Blamed, func(x, y Blame) int {
+		return cmp.Or(x.Started.Compare(y.Started), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
-	return Event{Died: death}
+	return Event{Died: crash}
 }
 
-// blame counts a request once, however many of its attempts ran here.
-func (d *Death) blame(r *run) {
-	for i := range d.Blamed {
-		if d.Blamed[i].Fingerprint == r.fingerprint {
-			if r.started.After(d.Blamed[i].Started) {
-				d.Blamed[i].Started = r.started
+// addSuspect adds a request once, however many of its attempts ran here.
+func (c *Death) addSuspect(a *attempt) {
+	for i := range c.Blamed {
+		if c.Blamed[i].Fingerprint == a.fingerprint {
+			if a.startedAt.After(c.Blamed[i].Started) {
+				c.Blamed[i].Started = a.startedAt
 			}
 			return
 		}
 	}
-	d.Blamed = append(d.Blamed, Blame{r.fingerprint, r.started})
+	c.Blamed = append(c.Blamed, Blame{a.fingerprint, a.startedAt})
 }
 
-func (s *tracked) forget(now time.Time) {
-	s.past = slices.DeleteFunc(s.past, func(r *run) bool { return now.Sub(r.ended) > lingerFor })
-	s.broken = slices.DeleteFunc(s.broken, func(r *run) bool { return now.Sub(r.ended) > breakMemory })
+func (s *trackedServer) expire(now time.Time) {
+	s.lingering = slices.DeleteFunc(s.lingering, func(a *attempt) bool { return now.Sub(a.endedAt) > lingerTime })
+	s.broken = slices.DeleteFunc(s.broken, func(a *attempt) bool { return now.Sub(a.endedAt) > brokenTTL })
 }
 
-func appendBounded(runs []*run, r *run) []*run {
-	if len(runs) >= maxLingering {
-		runs = slices.Delete(runs, 0, 1)
+func appendBounded(attempts []*attempt, a *attempt) []*attempt {
+	if len(attempts) >= maxEndedAttempts {
+		attempts = slices.Delete(attempts, 0, 1)
 	}
-	return append(runs, r)
+	return append(attempts, a)
 }
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -4,121 +4,121 @@
 	"time"
 )
 
-// against lists the deaths that speak against the request in the service.
-func (b *Book) against(now time.Time, f Fingerprint, service string) []*recorded {
-	var deaths []*recorded
-	for _, d := range b.deaths {
-		if d.Service == service && now.Sub(d.at) <= evidenceFor && d.share(f) > 0 && !b.massDeath(d, f) {
-			deaths = append(deaths, d)
+// crashesAgainst lists the crashes that count as evidence against the request
+// in the service.
+func (b *Book) crashesAgainst(now time.Time, f Fingerprint, service string) []*recordedCrash {
+	var crashes []*recordedCrash
+	for _, c := range b.crashes {
+		if c.Service == service && now.Sub(c.at) <= evidenceTTL && c.blame(f) > 0 && !b.isMassCrash(c, f) {
+			crashes = append(crashes, c)
 		}
 	}
-	return deaths
+	return crashes
 }
 
-// massDeath reports whether another server died at about the same time
+// isMassCrash reports whether another server crashed at about the same time
 // without the request running on it.
-func (b *Book) massDeath(death *recorded, f Fingerprint) bool {
-	for _, other := range b.deaths {
-		apart := other.at.Sub(death.at).Abs()
-		if other.Name != death.Name && apart <= massDeathFor && !other.names(f) {
+func (b *Book) isMassCrash(crash *recordedCrash, f Fingerprint) bool {
+	for _, other := range b.crashes {
+		apart := other.at.Sub(crash.at).Abs()
+		if other.Name != crash.Name && apart <= massCrashWindow && !other.hasSuspect(f) {
 			return true
 		}
 	}
 	return false
 }
 
-// condemn gives the verdict if the evidence suffices.
+// quarantineIfProven adds a verdict if the evidence suffices, and reports
+// whether it did. It must stop a request that its caller sends again and again
+// and that crashes each server that runs it, without refusing requests that
+// only ran beside it. A verdict needs
 //
-// Load: a request that crashes each server that runs it, sent again and again
-// by its caller, among many that do not. Harm prevented: it takes the servers
-// of a service one after the other, everything that runs beside it is lost
-// too, or an innocent request that ran beside it is refused. Reasons for the
-// limits: as many different servers as the policy says, in at least two
-// separate events, since one event may be a loss of power, and three for a
-// request that was answered lately; no success since;
-// most of the service's deaths, since a service that crashes by itself would
-// condemn whatever runs long; and one and a half times the blame of any other
-// suspect, which a request that ran beside the poison never has.
-func (b *Book) condemn(now time.Time, f Fingerprint, service string) bool {
+//   - separate events on as many servers as the policy requires, since a power
+//     loss is one event;
+//   - most of the service's crashes, since a service that crashes by itself
+//     would incriminate any long-running request;
+//   - a clear lead in blame over every other suspect.
+func (b *Book) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
 	if b.verdicts.Contains(f) {
 		return false
 	}
-	deaths := b.against(now, f, service)
-	if !b.enough(now, deaths, f) || !b.mostOf(now, deaths, service) || !leads(deaths, f) {
+	crashes := b.crashesAgainst(now, f, service)
+	if !b.enoughEvents(now, crashes, f) || !b.mostCrashes(now, crashes, service) || !hasBlameLead(crashes, f) {
 		return false
 	}
-	b.record(now, f, deaths)
-	for _, d := range deaths {
-		b.clearAll(d)
+	b.addVerdict(now, f, crashes)
+	for _, c := range crashes {
+		b.clearAll(c)
 	}
 	return true
 }
 
-// enough counts events and servers.
-func (b *Book) enough(now time.Time, deaths []*recorded, f Fingerprint) bool {
+// enoughEvents reports whether there are enough separate events and servers.
+func (b *Book) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
 	events := 0
 	var last time.Time
 	servers := make(map[string]bool)
-	for _, d := range deaths {
-		servers[d.Name] = true
-		if events == 0 || d.startOf(f).Sub(last) >= sameEventFor {
+	for _, c := range crashes {
+		servers[c.Name] = true
+		if events == 0 || c.startOf(f).Sub(last) >= sameEventWindow {
 			events++
 		}
-		last = d.at
+		last = c.at
 	}
-	wanted := b.cfg.Policy.QuarantineServers
-	return events >= b.wantedEvents(now, f) && (len(servers) >= wanted || len(deaths) >= wanted+extraDeaths)
+	required := b.cfg.Policy.QuarantineServers
+	return events >= b.requiredEvents(now, f) && (len(servers) >= required || len(crashes) >= required+extraCrashes)
 }
 
-func (b *Book) wantedEvents(now time.Time, f Fingerprint) int {
-	if answered, ok := b.proven.Peek(f); ok && now.Sub(answered) <= evidenceFor {
-		return provenEvents
+func (b *Book) requiredEvents(now time.Time, f Fingerprint) int {
+	if answered, ok := b.lastSuccess.Peek(f); ok && now.Sub(answered) <= evidenceTTL {
+		return minEventsIfProven
 	}
-	return leastEvents
+	return minEvents
 }
 
-func (d *recorded) startOf(f Fingerprint) time.Time {
-	for _, blame := range d.Blamed {
-		if blame.Fingerprint == f {
-			return blame.Started
+// startOf is when the request's latest attempt on the crashed server started.
+func (c *recordedCrash) startOf(f Fingerprint) time.Time {
+	for _, suspect := range c.Blamed {
+		if suspect.Fingerprint == f {
+			return suspect.Started
 		}
 	}
 	return time.Time{}
 }
 
-// mostOf: at least half of the service's deaths since the first one that
-// speaks against the request do so.
-func (b *Book) mostOf(now time.Time, deaths []*recorded, service string) bool {
+// mostCrashes reports whether the crashes are at least half of the service's
+// since the first of them.
+func (b *Book) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
 	all := 0
-	for _, d := range b.deaths {
-		if d.Service == service && !d.at.Before(deaths[0].at) && now.Sub(d.at) <= evidenceFor {
+	for _, c := range b.crashes {
+		if c.Service == service && !c.at.Before(crashes[0].at) && now.Sub(c.at) <= evidenceTTL {
 			all++
 		}
 	}
-	return 2*len(deaths) >= all
+	return 2*len(crashes) >= all
 }
 
-func leads(deaths []*recorded, f Fingerprint) bool {
+func hasBlameLead(crashes []*recordedCrash, f Fingerprint) bool {
 	scores := make(map[Fingerprint]float64)
-	for _, d := range deaths {
-		for _, blame := range d.Blamed {
-			scores[blame.Fingerprint] += d.share(blame.Fingerprint)
+	for _, c := range crashes {
+		for _, suspect := range c.Blamed {
+			scores[suspect.Fingerprint] += c.blame(suspect.Fingerprint)
 		}
 	}
 	for other, score := range scores {
-		if other != f && scores[f] < clearLead*score {
+		if other != f && scores[f] < minBlameLead*score {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *Book) record(now time.Time, f Fingerprint, deaths []*recorded) {
+func (b *Book) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
 	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
-	for _, d := range deaths {
-		news := News{Fingerprint: f, Server: d.Name, Incarnation: d.Incarnation, InFlight: uint32(len(d.Blamed))}
-		v.evidence = append(v.evidence, news)
-		b.absorbed.Add(news, struct{}{})
+	for _, c := range crashes {
+		e := News{Fingerprint: f, Server: c.Name, Incarnation: c.Incarnation, InFlight: uint32(len(c.Blamed))}
+		v.evidence = append(v.evidence, e)
+		b.knownEvidence.Add(e, struct{}{})
 	}
 	b.verdicts.Add(f, v)
 }
