--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -11,81 +11,72 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// LeastParts is how many of the shards an answer must have for the coverage, 0 to 1.
+// LeastParts is how many of the shards an answer needs for the coverage, 0 to 1.
 func LeastParts(coverage float64, total int) int {
-	const rounding = 1e-9 // 0.55 of 20 shards are 11, and a little more as a float
+	const rounding = 1e-9 // 0.55 of 20 shards must be 11, not 12
 	return int(math.Ceil(coverage*float64(total) - rounding))
 }
 
-// waitShare is the part of the time to the target, less the time that a leg runs,
-// that a leg may be forecast to wait in a queue.
-//
-// Load: a queue of some ten legs, of which each host sees its own. Harm prevented:
-// a query that is let in at the last moment is late at the one service in twenty
-// that is slower than its forecast. In the model of GoodputCase at eight times
-// a third of the capacity 0.98 of the capacity went into answers in time, with 0.4
-// 0.96, with 0.8 0.95, with 1.0 0.76.
-const waitShare = 0.6
-
-// Admission is what is decided of a query before any of its legs is sent.
+// maxWaitShare is the part of the slack, the time to the target less the run
+// time of the leg, that the forecast queue wait may take. The rest is a margin
+// for services that are slower than their forecast.
+const maxWaitShare = 0.6
+
+// Admission is the decision on a query before any of its legs is sent.
 type Admission struct {
 	Refuse bool
-	// Optional shards can't be in the answer in time; nil: all can.
+	// Optional marks the shards that can't answer in time; nil: all can.
 	Optional []bool
 }
 
-// Decide weighs the forecasts of a query's shards, in their order, against the
+// Decide compares the forecasts of a query's shards, in their order, with the
 // time that is left for legs to be in time.
 //
-// Load: services above their capacity for seconds, by a burst or since half of
-// their servers are slow. Harm prevented: each query's legs use the slots of
-// twenty services, and a query that then lacks three of them in time has taken
-// them from others for nothing. In the model of two hosts (GoodputCase) at
-// four times a third of the capacity 0.45 of the capacity went into answers in
-// time, 0.97 with this decision. Limits: what is late since a server is slow, and not
-// since others are before it, takes nothing from anybody and goes on; and so does
-// a query that can do without the shards that are late.
+// When services are above their capacity for seconds, a query that lacks some
+// shards in time has used slots of all the others for nothing, so it is refused
+// before it is sent. A shard that is late only because its server is slow, with
+// no queue ahead, takes no slot from other queries and is not refused.
 func Decide(plan *Plan, left time.Duration, forecasts []leg.Forecast) Admission {
 	spare := len(forecasts) - LeastParts(plan.LeastCoverage, len(forecasts))
-	var decided Admission
+	var admission Admission
 	late := 0
 	for i, f := range forecasts {
-		if f.Silent || f.Wait > 0 && f.Wait > time.Duration(waitShare*float64(left-f.Run)) {
-			decided.leaveOut(i, len(forecasts))
+		if f.Silent || f.Wait > 0 && f.Wait > time.Duration(maxWaitShare*float64(left-f.Run)) {
+			admission.markOptional(i, len(forecasts))
 			late++
 		}
 	}
-	decided.Refuse = late > spare
+	admission.Refuse = late > spare
 	for i, f := range forecasts {
-		if late < spare && f.Run > left && !decided.leavesOut(i) {
-			decided.leaveOut(i, len(forecasts))
+		if late < spare && f.Run > left && !admission.isOptional(i) {
+			admission.markOptional(i, len(forecasts))
 			late++
 		}
 	}
-	return decided
+	return admission
 }
 
-func (a *Admission) leaveOut(shard, total int) {
+func (a *Admission) markOptional(shard, total int) {
 	if a.Optional == nil {
 		a.Optional = make([]bool, total)
 	}
 	a.Optional[shard] = true
 }
 
-func (a *Admission) leavesOut(shard int) bool { return a.Optional != nil && a.Optional[shard] }
+func (a *Admission) isOptional(shard int) bool { return a.Optional != nil && a.Optional[shard] }
 
 // admit decides whether the query's legs are sent.
 func (r *run) admit() bool {
-	if r.work.Target.IsZero() || !r.asksMany() {
+	if r.work.Target.IsZero() || !r.isMultiShard() {
 		return true
 	}
 	forecasts := r.forecasts()
-	decided := Decide(&r.work.Plan, r.due().Sub(r.started), forecasts)
-	r.optional = decided.Optional
-	if !decided.Refuse {
+	admission := Decide(&r.work.Plan, r.due().Sub(r.started), forecasts)
+	r.optional = admission.Optional
+	if !admission.Refuse {
 		return true
 	}
-	r.refuse(r.describe(decided, forecasts))
+	r.refuse(r.describeLate(admission, forecasts))
 	return false
 }
 
@@ -98,8 +89,8 @@
 	return forecasts
 }
 
-// silentShards counts the shards without a result whose services are silent.
-func (r *run) silentShards() (n int) {
+// countSilentShards counts the shards without a result whose services are silent.
+func (r *run) countSilentShards() (n int) {
 	for i, shard := range r.work.Snapshot.Shards {
 		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.work.Class).Silent {
 			n++
@@ -108,18 +99,18 @@
 	return n
 }
 
-// mostDescribed bounds the shards that a refusal names.
-const mostDescribed = 8
+// maxDescribedShards bounds the shards that a refusal names.
+const maxDescribedShards = 8
 
-// describe names the shards that decided, for whoever asks why.
-func (r *run) describe(decided Admission, forecasts []leg.Forecast) string {
+// describeLate lists the late shards with their forecasts, for the refusal.
+func (r *run) describeLate(admission Admission, forecasts []leg.Forecast) string {
 	var text strings.Builder
 	late := 0
-	for i, optional := range decided.Optional {
+	for i, optional := range admission.Optional {
 		if !optional {
 			continue
 		}
-		if late < mostDescribed {
+		if late < maxDescribedShards {
 			fmt.Fprintf(&text, " %s:%s", r.work.Snapshot.Shards[i].Service, forecasts[i])
 		}
 		late++
@@ -127,23 +118,23 @@
 	return fmt.Sprintf("%d shards would be late, wait+run in ms:%s", late, text.String())
 }
 
-// comeBackLeast and comeBackMost bound when a refused caller is asked back, as
-// parts of the time that it has left: late enough for a queue to drain, early
-// enough that its second answer is in time, and drawn, so that a burst does not
-// come back as one.
+// minRetryShare and maxRetryShare bound the retry delay of a refused query, as
+// parts of the time that it has left: late enough for a queue to drain, and
+// early enough for the retry to be in time.
 const (
-	comeBackLeast = 0.10
-	comeBackMost  = 0.30
+	minRetryShare = 0.10
+	maxRetryShare = 0.30
 )
 
-// ComeBackAfter is when a query that was refused at now may be sent again.
+// ComeBackAfter is the retry delay of a query that was refused at now. It is
+// spread by the request id, so that a burst is not retried as one.
 func ComeBackAfter(plan *Plan, now time.Time) time.Duration {
-	drawn := float64(binary.BigEndian.Uint32(plan.Request[12:])) / (1 << 32)
-	part := comeBackLeast + drawn*(comeBackMost-comeBackLeast)
-	return time.Duration(part * float64(plan.Deadline.Sub(now)))
+	jitter := float64(binary.BigEndian.Uint32(plan.Request[12:])) / (1 << 32)
+	share := minRetryShare + jitter*(maxRetryShare-minRetryShare)
+	return time.Duration(share * float64(plan.Deadline.Sub(now)))
 }
 
 // refuse ends the query before any leg is sent.
-func (r *run) refuse(why string) {
-	r.query.Refuse(result.Overloaded, why, ComeBackAfter(&r.work.Plan, r.started))
+func (r *run) refuse(detail string) {
+	r.query.Refuse(result.Overloaded, detail, ComeBackAfter(&r.work.Plan, r.started))
 }
--- a/scatter/answer.go
+++ b/scatter/answer.go
@@ -9,33 +9,32 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Part is one shard's body in an answer.
+// Part is the answer of one shard.
 type Part struct {
 	Shard snapshot.ShardID
 	Body  []byte
-	Reply *forward.Reply // to a forwarded request; else nil
+	Reply *forward.Reply // to a forwarded request; nil otherwise
 }
 
-// Missing is one shard that an answer lacks, and why.
+// Missing is a shard that an answer lacks, and the reason.
 type Missing struct {
 	Shard   snapshot.ShardID
 	Service string
 	Code    result.Code
 	Detail  string
-	// Reply is what a backend server said of a forwarded request that failed.
+	// Reply is the backend server's reply to a forwarded request that failed.
 	Reply *forward.Reply
 }
 
-// LegTime is how one leg went, as its root saw it.
+// LegTime is the latency of one leg, as the query's entry host measured it.
 type LegTime struct {
 	Service string
 	Time    time.Duration // from the query's start until its result, or its end
-	Wait    time.Duration // at its home; leg.UnknownWait when not known
+	Wait    time.Duration // in its home's queue; leg.UnknownWait when not known
 	Missed  bool          // no result came in time
 }
 
-// Answer is the one terminal result of a query. Its coverage is len(Parts) of
-// Total: it is counted from the accepted replies, never declared.
+// Answer is the one final result of a query. Its coverage is len(Parts) of Total.
 type Answer struct {
 	Request    ident.RequestID
 	Code       result.Code
@@ -47,9 +46,9 @@
 	Attempts   int
 	Hedges     int
 	RetryAfter time.Duration
-	// Legs tells how each leg went, for the admission of later queries.
+	// Legs are the latencies of the legs, for the admission of later queries.
 	Legs []LegTime
-	// Stale: the query ended early for a restart, see Plan.Restartable.
+	// Stale: the query ended early to be restarted, see Plan.Restartable.
 	Stale bool
 }
 
@@ -63,7 +62,7 @@
 		Total:    len(q.shards),
 		Attempts: q.attempts,
 		Hedges:   q.hedges,
-		Stale:    q.stale,
+		Stale:    q.needsRestart,
 	}
 	notRun := true
 	for i := range q.shards {
@@ -73,7 +72,7 @@
 	q.decideCode(a, notRun)
 }
 
-// addShard puts one shard into the answer and reports whether it surely ran nowhere.
+// addShard adds one shard to the answer and reports whether it certainly ran nowhere.
 func (q *Query) addShard(a *Answer, i int) (notRun bool) {
 	shard := &q.shards[i]
 	spec := q.plan.Snapshot.Shards[i]
@@ -83,25 +82,25 @@
 	}
 	missing := Missing{Shard: spec.ID, Service: spec.Service, Code: shard.code, Detail: shard.detail, Reply: shard.reply}
 	if !shard.settled {
-		// The least coverage was out of reach while this leg was under way.
+		// The query ended while this leg was open.
 		missing.Code = result.Cancelled
 		missing.Detail = "given up: the least coverage is out of reach"
 	}
 	a.Missing = append(a.Missing, missing)
-	a.RetryAfter = max(a.RetryAfter, shard.retry)
+	a.RetryAfter = max(a.RetryAfter, shard.retryDelay)
 	return shard.settled && shard.outcome.NotRun()
 }
 
-// decideCode chooses the code of the whole answer. "Not run" is said only if
-// every attempt of every leg surely ran nowhere.
+// decideCode sets the code of the answer. It is a "not run" code only if every
+// attempt of every leg certainly ran nowhere.
 func (q *Query) decideCode(a *Answer, notRun bool) {
 	switch {
 	case len(a.Missing) == 0:
 		a.Code = result.Complete
-	case q.stale:
+	case q.needsRestart:
 		// Not a "not run" code: legs on other shards may have run.
 		a.Code = result.SnapshotGone
-	case q.covers(len(a.Parts)):
+	case q.meetsCoverage(len(a.Parts)):
 		a.Code = result.Partial
 	case notRun:
 		a.Code = notRunCode(a.Missing)
@@ -120,8 +119,8 @@
 	}
 }
 
-// notRunCode is the code of a request that ran nowhere: the first missing
-// shard's own, if it claims no more than "not run".
+// notRunCode is the code of a request that ran nowhere: the first "not run" code
+// of a missing shard.
 func notRunCode(missing []Missing) result.Code {
 	for _, m := range missing {
 		if m.Code.NotRun() {
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -12,18 +12,18 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Homes tells where legs run. Both answers may be the local host.
+// Homes finds the home of a service, which runs its legs. It may be the local host.
 type Homes interface {
-	// Of returns the home of the service and the host that takes over when
-	// the home is lost; second is empty when there is none.
+	// Of returns the home of the service and the host that takes over when the
+	// home is lost; empty when there is none.
 	Of(service string) (first, second ident.HostID)
-	// Runner returns the way to a host; false when it isn't known any more.
+	// Runner returns what runs legs at a host; false when the host is unknown.
 	Runner(host ident.HostID) (leg.Runner, bool)
-	// Forecast says how a leg of the class sent now would fare at the service.
+	// Forecast predicts wait and run time of a leg of the class sent now.
 	Forecast(service, class string) leg.Forecast
 }
 
-// Counter counts what became of the legs' results; the observe slice gives one.
+// Counter counts the results of legs for metrics.
 type Counter interface {
 	Verdict(v Verdict)
 	Failover()
@@ -40,74 +40,71 @@
 	Body        []byte
 	// MaxServers bounds the backend servers that may run a leg; 0: no bound.
 	MaxServers int
-	// Forward is set for a request that is passed on as its caller sent it.
+	// Forward is set for a request that is forwarded as its caller sent it.
 	Forward *forward.Request
 }
 
 // Coordinator runs queries. It holds no state between them.
 type Coordinator struct {
-	// LostFor is how long the open legs of a query go on that failed for legs that were
-	// lost, or refused as those of a request that may crash servers; 0: they are cancelled
-	// at once. Set it before the first query.
-	//
-	// Failure: a request crashes a server of each of its services. The first legs that
-	// are lost or refused end the query, the others are cancelled a moment before their
-	// connections break, and their homes never ask whether these servers live. It shows
-	// as a request that is sent again and crashes two more servers there before the
-	// restart tells. The guard holds because the break arrives while the attempt is open.
+	// LostFor is how long the open legs of a query continue after it failed
+	// because legs were lost or refused as suspects of a crash; 0: they are
+	// cancelled at once. A request that crashes a server of each of its
+	// services ends with its first lost legs; if the others were cancelled
+	// before their connections break, their homes would not notice the crashes.
+	// Set it before the first query.
 	LostFor time.Duration
 
 	homes   Homes
 	counter Counter
 	now     func() time.Time
-	learn   func(service, index string, held []snapshot.Version)
+	onHeld  func(service, index string, held []snapshot.Version)
 }
 
-// NewCoordinator makes a coordinator. learn is told which snapshots a
-// service's backend servers say that they hold.
-func NewCoordinator(homes Homes, counter Counter, now func() time.Time, learn func(service, index string, held []snapshot.Version)) *Coordinator {
-	return &Coordinator{homes: homes, counter: counter, now: now, learn: learn}
+// NewCoordinator makes a coordinator. onHeld is called with the snapshots that a
+// service's backend servers report to hold.
+func NewCoordinator(homes Homes, counter Counter, now func() time.Time, onHeld func(service, index string, held []snapshot.Version)) *Coordinator {
+	return &Coordinator{homes: homes, counter: counter, now: now, onHeld: onHeld}
 }
 
-// run is one query under way: its state and its legs' cancel functions.
+// run is one running query with its legs.
 type run struct {
 	c       *Coordinator
 	query   *Query
 	work    Work
-	results chan arrival
-	cancels []func()
+	results chan legResult
+	cancels []func() // these slices are indexed by shard
 	sentTo  []ident.HostID
-	// optional shards are those that the query does without, see admission.go.
-	optional []bool
-	moved    []bool // legs that went to the second home
-	maybe    []bool // of these, legs that may have run at the first
-	started  time.Time
-	times    []LegTime
-	ended    atomic.Bool
+	// optional marks the shards that the query can do without.
+	optional   []bool
+	failedOver []bool // legs that were sent to the second home
+	mayHaveRun []bool // of these, legs that may have run at the first home
+	started    time.Time
+	timings    []LegTime
+	ended      atomic.Bool
 }
 
-type arrival struct {
-	position int
-	result   leg.Result
+type legResult struct {
+	shard  int // index into the shards of the snapshot
+	result leg.Result
 }
 
-// homesPerLeg is how many homes a leg is sent to at most.
+// homesPerLeg is the greatest number of homes that a leg is sent to.
 const homesPerLeg = 2
 
-// Run runs the query and returns its one answer, at the latest at the cut-off
-// time or when ctx ends. Legs that are still under way are cancelled then.
+// Run runs the query and returns its answer, at the latest at the final cut-off
+// or when ctx ends, and cancels the legs that are still open.
 func (c *Coordinator) Run(ctx context.Context, work Work) *Answer {
 	shards := work.Snapshot.Shards
 	r := &run{
-		c:       c,
-		work:    work,
-		results: make(chan arrival, homesPerLeg*len(shards)),
-		cancels: make([]func(), len(shards)),
-		sentTo:  make([]ident.HostID, len(shards)),
-		moved:   make([]bool, len(shards)),
-		maybe:   make([]bool, len(shards)),
-		started: c.now(),
-		times:   make([]LegTime, len(shards)),
+		c:          c,
+		work:       work,
+		results:    make(chan legResult, homesPerLeg*len(shards)),
+		cancels:    make([]func(), len(shards)),
+		sentTo:     make([]ident.HostID, len(shards)),
+		failedOver: make([]bool, len(shards)),
+		mayHaveRun: make([]bool, len(shards)),
+		started:    c.now(),
+		timings:    make([]LegTime, len(shards)),
 	}
 	if r.work.Started.IsZero() {
 		r.work.Started = r.started
@@ -120,29 +117,29 @@
 	}
 	for r.query.Answer() == nil {
 		select {
-		case a := <-r.results:
-			r.take(a)
+		case res := <-r.results:
+			r.handleResult(res)
 		case <-timer.C:
 			r.cutOff()
-			timer.Reset(r.nextLook())
+			timer.Reset(r.untilNextCheck())
 		case <-ctx.Done():
-			r.query.Abandon()
+			r.query.Cancel()
 		}
 	}
 	r.ended.Store(true)
 	answer := r.query.Answer()
-	if c.LostFor > 0 && mayCrash(answer) {
-		time.AfterFunc(c.LostFor, r.cancelRest)
+	if c.LostFor > 0 && mayHaveCrashedServers(answer) {
+		time.AfterFunc(c.LostFor, r.cancelOpen)
 	} else {
-		r.cancelRest()
+		r.cancelOpen()
 	}
-	answer.Legs = r.legTimes()
+	answer.Legs = r.legTimings()
 	return answer
 }
 
-// mayCrash reports whether the query has no part of an answer, and legs that were lost
-// without a word or refused since the request may crash servers.
-func mayCrash(answer *Answer) bool {
+// mayHaveCrashedServers reports whether the query has no part of an answer, and
+// legs that were lost or refused as suspects of a crash.
+func mayHaveCrashedServers(answer *Answer) bool {
 	if len(answer.Parts) > 0 {
 		return false
 	}
@@ -156,53 +153,49 @@
 }
 
 // cutOff ends the query if it is time to. At the final cut-off the open legs are
-// cancelled first, and what their homes say of them is taken in.
-//
-// Failure: a booking waits for a slot until its deadline and never gets one. Its
-// customer would be told that it may have run, and can't book again. The guard
-// holds because a local home answers a cancel at once, and says "not run" only
-// of a leg that no server has or had.
+// cancelled first and their results taken in, since a local home can then say
+// that a leg has not run. Otherwise the customer of a booking that only waited
+// for a slot would be told that it may have run, and could not book again.
 func (r *run) cutOff() {
 	now := r.c.now()
 	if !now.Before(FinalCutOff(r.work.Plan)) {
-		r.cancelRest()
-		r.takeWaiting()
+		r.cancelOpen()
+		r.drainResults()
 	}
 	r.query.CutOff(now)
-	if r.query.Late() && r.asksMany() {
-		r.query.GiveUp(r.silentShards())
+	if r.query.PastTarget() && r.isMultiShard() {
+		r.query.EndIfUnreachable(r.countSilentShards())
 	}
 }
 
-// asksMany reports whether the query is one over several shards. What is decided
-// from the state of services holds for these only: a request to one service takes
-// nothing from others while it waits, may take its whole time, and may not run
-// twice, so that its end before an answer costs its caller the most.
-func (r *run) asksMany() bool { return len(r.work.Snapshot.Shards) > 1 }
+// isMultiShard reports whether the query has several shards. Only such a query
+// is refused or ended early because of the state of its services: a request to
+// one service holds no other slots while it waits, and may not be repeatable.
+func (r *run) isMultiShard() bool { return len(r.work.Snapshot.Shards) > 1 }
 
-// lateCheck is how often a query that is past its target looks whether its least
-// coverage can still be had.
-const lateCheck = 100 * time.Millisecond
+// lateCheckInterval is how often a query past its target checks whether its
+// least coverage can still be reached.
+const lateCheckInterval = 100 * time.Millisecond
 
-// nextLook is how long until cutOff is due again.
-func (r *run) nextLook() time.Duration {
+// untilNextCheck is how long until cutOff is due again.
+func (r *run) untilNextCheck() time.Duration {
 	next := r.query.NextCutOff().Sub(r.c.now())
-	if r.query.Late() {
-		next = min(next, lateCheck)
+	if r.query.PastTarget() {
+		next = min(next, lateCheckInterval)
 	}
 	return next
 }
 
-// takeWaiting takes in the results that have come already.
-func (r *run) takeWaiting() {
+// drainResults handles the results that have arrived already.
+func (r *run) drainResults() {
 	for r.query.Answer() == nil {
 		select {
-		case a := <-r.results:
-			if a.result.Code == result.Cancelled && a.result.Outcome.NotRun() {
-				a.result.Code = result.DeadlineUnmeetable
-				a.result.Detail = "no server took it in time"
+		case res := <-r.results:
+			if res.result.Code == result.Cancelled && res.result.Outcome.NotRun() {
+				res.result.Code = result.DeadlineUnmeetable
+				res.result.Detail = "no server took it in time"
 			}
-			r.take(a)
+			r.handleResult(res)
 		default:
 			return
 		}
@@ -218,26 +211,26 @@
 
 func (r *run) send(i int, host ident.HostID) {
 	request := r.request(i)
-	if r.maybe[i] {
+	if r.mayHaveRun[i] {
 		request.After = r.sentTo[i]
 	}
 	r.sentTo[i] = host
 	runner, ok := r.c.homes.Runner(host)
 	if !ok {
-		r.results <- arrival{i, leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, "no home for the service")}
+		r.results <- legResult{i, leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, "no home for the service")}
 		return
 	}
-	r.cancels[i] = runner.Run(request, func(res leg.Result) { r.arrive(i, res) })
+	r.cancels[i] = runner.Run(request, func(res leg.Result) { r.deliver(i, res) })
 }
 
-// arrive is called by runners, on their goroutines. The channel has room for
-// every result there can be, so it never blocks.
-func (r *run) arrive(i int, res leg.Result) {
+// deliver is called by runners, on their goroutines. The channel has room for
+// all results, so it never blocks.
+func (r *run) deliver(i int, res leg.Result) {
 	if r.ended.Load() {
 		r.c.counter.Verdict(VerdictLate)
 		return
 	}
-	r.results <- arrival{i, res}
+	r.results <- legResult{i, res}
 }
 
 func (r *run) request(i int) leg.Request {
@@ -261,9 +254,8 @@
 	}
 }
 
-// legDeadline is when a leg's result is of no use any more. A forwarded request
-// is given up at its cut-off: a server that is handed more time works for nobody,
-// and a slot that is freed at the cut-off would go to one that ends with it.
+// legDeadline is when a leg's result becomes useless: for a forwarded request at
+// its final cut-off, so that no server works on it any longer.
 func (r *run) legDeadline() time.Time {
 	if r.work.Forward == nil {
 		return r.work.Deadline
@@ -271,7 +263,7 @@
 	return FinalCutOff(r.work.Plan)
 }
 
-// due is when a leg's result must be there to go into an answer in time.
+// due is when a leg's result must arrive for the answer to be in time.
 func (r *run) due() time.Time {
 	if r.work.Target.IsZero() {
 		return time.Time{}
@@ -279,39 +271,38 @@
 	return TargetCutOff(r.work.Plan)
 }
 
-func (r *run) take(a arrival) {
-	r.times[a.position].Time = r.c.now().Sub(r.started)
-	r.times[a.position].Wait = a.result.Wait
-	if len(a.result.Held) > 0 {
-		r.c.learn(r.work.Snapshot.Shards[a.position].Service, r.work.Index, a.result.Held)
+func (r *run) handleResult(res legResult) {
+	r.timings[res.shard].Time = r.c.now().Sub(r.started)
+	r.timings[res.shard].Wait = res.result.Wait
+	if len(res.result.Held) > 0 {
+		r.c.onHeld(r.work.Snapshot.Shards[res.shard].Service, r.work.Index, res.result.Held)
 	}
-	if r.failOver(a) {
+	if r.failOver(res) {
 		return
 	}
-	if r.maybe[a.position] && a.result.Outcome.NotRun() {
-		// The first home was lost with the leg in its hands: it may have run
-		// there, so the second home's "not run" does not hold for the leg.
-		a.result.Outcome = result.OutcomeUnknown
+	if r.mayHaveRun[res.shard] && res.result.Outcome.NotRun() {
+		// The leg may have run at the first home before that was lost, so the
+		// second home's "not run" does not hold for the whole leg.
+		res.result.Outcome = result.OutcomeUnknown
 	}
-	r.c.counter.Verdict(r.query.Take(a.result))
+	r.c.counter.Verdict(r.query.Take(res.result))
 }
 
-// legTimes completes the times: a leg without a result took at least until now.
-func (r *run) legTimes() []LegTime {
-	spent := r.c.now().Sub(r.started)
-	for i := range r.times {
-		t := &r.times[i]
+// legTimings completes the timings: a leg without a result took at least until now.
+func (r *run) legTimings() []LegTime {
+	elapsed := r.c.now().Sub(r.started)
+	for i := range r.timings {
+		t := &r.timings[i]
 		t.Service = r.work.Snapshot.Shards[i].Service
 		if t.Time == 0 {
-			*t = LegTime{Service: t.Service, Time: spent, Wait: leg.UnknownWait, Missed: true}
+			*t = LegTime{Service: t.Service, Time: elapsed, Wait: leg.UnknownWait, Missed: true}
 		}
 	}
-	return r.times
+	return r.timings
 }
 
-// cancelRest cancels what is under way. Cancelling a leg that has ended does
-// nothing; results that still come are left in the channel and dropped with it.
-func (r *run) cancelRest() {
+// cancelOpen cancels the open legs; it has no effect on a leg that has ended.
+func (r *run) cancelOpen() {
 	for _, cancel := range r.cancels {
 		if cancel != nil {
 			cancel()
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -8,60 +8,50 @@
 
 const (
 	// latencyReserve is the part of a latency route's time that is kept for
-	// the way back to the caller.
+	// sending the answer to the caller.
 	latencyReserve = 0.10
-	// coverageReserve is the same for a coverage route, which spends nearly
-	// all its time on the last shards.
+	// coverageReserve is the same for a coverage route, which waits longer for
+	// its last shards.
 	coverageReserve = 0.04
-	// minReserve covers writing the answer and one way to a client: the
-	// users' longest is 3 ms.
+	// minReserve covers writing the answer and the network delay to a distant caller.
 	minReserve = 4 * time.Millisecond
 	// maxReserve bounds the reserve of long deadlines.
 	maxReserve = 100 * time.Millisecond
 )
 
-// FinalCutOff is when a query answers with what it has, or says that it can't.
+// FinalCutOff is when a query ends with the parts that it has.
 func FinalCutOff(plan Plan) time.Time {
 	return CutOff(plan.Started, plan.Deadline, plan.Prefer)
 }
 
 const (
-	// usualWay stands in for a caller's round trip that is not known: the users'
-	// are 2 to 8 ms.
-	usualWay = 5 * time.Millisecond
-	// writeReserve and writeShare are kept for writing the answer and a timer that
-	// fires late on a busy host: a fixed time, and a part of the time to the target.
-	writeReserve = 3 * time.Millisecond
-	writeShare   = 0.03
-	// mostTargetShare bounds what is kept of the time to the target in all.
-	mostTargetShare = 0.3
+	// defaultCallerRTT is used while the round trip to the caller is not known.
+	defaultCallerRTT = 5 * time.Millisecond
+	// writeReserve and writeReserveShare are kept for writing the answer and for
+	// a timer that fires late on a busy host: a fixed time, and a part of the
+	// time to the target.
+	writeReserve      = 3 * time.Millisecond
+	writeReserveShare = 0.03
+	// maxReserveShare bounds the whole reserve, as a part of the time to the target.
+	maxReserveShare = 0.3
 )
 
-// TargetCutOff is when a query that has the least coverage answers, so that
-// the answer is with the caller at the target.
-//
-// Load: one straggler among 20 to 92 shards. Harm prevented: the whole answer
-// comes late and is worth a tenth, for the sake of a twentieth of it. Limits: the
-// request's way to this host and the answer's way back are on the caller's clock,
-// and as much as this host may take to write the answer.
+// TargetCutOff is when a query that has its least coverage answers, so that the
+// answer reaches the caller at the target: one straggler among many shards must
+// not delay the whole answer past it. The reserve covers the request's and the
+// answer's way, which count on the caller's clock, and writing the answer.
 func TargetCutOff(plan Plan) time.Time {
-	way := plan.Way
-	if way == 0 {
-		way = usualWay
+	rtt := plan.Way
+	if rtt == 0 {
+		rtt = defaultCallerRTT
 	}
-	whole := float64(plan.Target.Sub(plan.Started))
-	reserve := way + writeReserve + time.Duration(writeShare*whole)
-	return plan.Target.Add(-min(reserve, time.Duration(mostTargetShare*whole)))
+	total := float64(plan.Target.Sub(plan.Started))
+	reserve := rtt + writeReserve + time.Duration(writeReserveShare*total)
+	return plan.Target.Add(-min(reserve, time.Duration(maxReserveShare*total)))
 }
 
-// CutOff is when a query answers with what it has, so that the answer is with
-// the caller before its deadline.
-//
-// Load: one straggler among 20 to 92 shards decides most answers' latency.
-// Harm prevented: an answer that comes after the deadline is lost work, and a
-// screen that gets nothing shows nothing. Limits: a latency route keeps 10% of
-// the time for the way back, a coverage route 4%; never under 4 ms, one way to
-// the users' farthest clients and the writing, and never over 100 ms.
+// CutOff is when a query answers with the parts that it has, so that the answer
+// reaches the caller before its deadline even when one of many shards straggles.
 func CutOff(now, deadline time.Time, prefer bundle.Prefer) time.Time {
 	share := latencyReserve
 	if prefer == bundle.PreferCoverage {
--- a/scatter/greatest.go
+++ b/scatter/greatest.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// Greatest returns the k greatest records of the parts, falling, in one piece.
-// Parts hold records of size bytes in no order; a shorter rest is no record.
-// Equal records all count.
+// Greatest returns the k greatest records of the parts, concatenated in
+// descending order. Parts hold unsorted records of size bytes; a shorter
+// remainder is ignored. Duplicates are kept.
 func Greatest(parts [][]byte, size, k int) []byte {
 	best := make([][]byte, 0, k+1)
 	for _, part := range parts {
 		for ; len(part) >= size; part = part[size:] {
-			best = keepGreatest(best, part[:size], k)
+			best = insertTopK(best, part[:size], k)
 		}
 	}
 	return bytes.Join(best, nil)
 }
 
-// keepGreatest puts a record into the falling list of the k best, if it is one.
-func keepGreatest(best [][]byte, record []byte, k int) [][]byte {
+// insertTopK inserts a record into the descending list of the k greatest, if it
+// is one of them.
+func insertTopK(best [][]byte, record []byte, k int) [][]byte {
 	if len(best) == k && (k == 0 || bytes.Compare(record, best[k-1]) <= 0) {
 		return best
 	}
