--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,31 +1,27 @@
-// Package retry bounds how much extra work retries and hedges may add to what
-// callers asked for. A budget is earned by first attempts and spent by extra
-// ones, so the extra load stays a fixed share of the load whatever fails.
+// Package retry limits the extra load of retries and hedges. A budget is earned by
+// first attempts and spent by extra ones, so the extra load stays a fixed share
+// of the callers' load.
 package retry
 
 import "time"
 
-// Budget is a token bucket that is filled by work, and by time where a limit allows so
-// many extra attempts in any span. The zero value allows nothing. It is not safe for
-// concurrent use.
+// Budget is a token bucket that is filled by first attempts and, if a rate is set,
+// by time. The zero value allows nothing. It is not safe for concurrent use.
 //
-// Load: a service of which every backend server refuses or is slow. Harm
-// prevented: each refusal calls for another attempt, and the attempts keep the
-// servers overloaded after the cause is gone. Reason for earning by first
-// attempts: the extra load is then at most ratio of the callers' load, also
-// when that load is ten times the usual.
+// When every backend server of a service refuses or is slow, each refusal asks
+// for a retry, and unlimited retries keep the servers overloaded after the cause
+// is gone.
 type Budget struct {
 	ratio  float64
 	burst  float64
 	tokens float64
-	// perSecond is what is earned without work; passed is until when it was earned.
-	perSecond float64
-	passed    time.Time
+	// perSecond is the refill by time, up to refilledAt.
+	perSecond  float64
+	refilledAt time.Time
 }
 
 // NewBudget makes a budget that earns ratio tokens for each first attempt and
-// holds at most burst. It starts full, so that a quiet service can retry its
-// first refusal.
+// holds at most burst. It starts full, so that the first refusal can be retried.
 func NewBudget(ratio, burst float64) Budget {
 	if ratio <= 0 {
 		return Budget{}
@@ -33,47 +29,42 @@
 	return Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// NewPartBudget makes a budget that starts with a part of its burst, 0 to 1: for extra
-// work that is not urgent enough to run far ahead of its share, and for hosts that may
-// have spent all of it just before they started again.
+// NewPartBudget makes a budget that starts with a part of its burst, 0 to 1, such
+// as that of a host that may have spent its burst just before a restart.
 func NewPartBudget(ratio, burst, part float64) Budget {
 	b := NewBudget(ratio, burst)
 	b.tokens *= part
 	return b
 }
 
-// Set changes the limits and keeps what was earned.
+// Set changes the limits and keeps the tokens that still fit.
 func (b *Budget) Set(ratio, burst float64) {
-	next := NewBudget(ratio, burst)
-	next.tokens = min(b.tokens, next.burst)
-	next.perSecond, next.passed = b.perSecond, b.passed
-	*b = next
+	updated := NewBudget(ratio, burst)
+	updated.tokens = min(b.tokens, updated.burst)
+	updated.perSecond, updated.refilledAt = b.perSecond, b.refilledAt
+	*b = updated
 }
 
-// Earn counts one first attempt.
+// Earn adds the tokens of one first attempt.
 func (b *Budget) Earn() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
-// SetRate sets what is earned by time, in attempts a second.
-//
-// Load: a service that is asked a few times a second, whose operator allows hundreds
-// of extra attempts in any ten seconds. Harm prevented: a budget of work alone hands
-// the allowance out once, and then a few attempts a second, while most of it stays
-// unused and stragglers are waited for. In any span a bucket gives no more than its
-// burst and what is earned meanwhile, so that the two together keep the limit.
+// SetRate sets the refill by time, in attempts a second. It lets a service with
+// few requests use an allowance that is defined per time span: in any span, the
+// bucket gives at most its burst and what is refilled meanwhile.
 func (b *Budget) SetRate(perSecond float64) { b.perSecond = perSecond }
 
-// Pass earns what the time since the last call is worth.
+// Pass refills the tokens for the time since the last call.
 func (b *Budget) Pass(now time.Time) {
-	if !b.passed.IsZero() && now.After(b.passed) {
-		b.tokens = min(b.tokens+b.perSecond*now.Sub(b.passed).Seconds(), b.burst)
+	if !b.refilledAt.IsZero() && now.After(b.refilledAt) {
+		b.tokens = min(b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds(), b.burst)
 	}
-	b.passed = now
+	b.refilledAt = now
 }
 
-// Allows reports whether one extra attempt could be paid.
+// Allows reports whether an extra attempt is within the budget.
 func (b *Budget) Allows() bool { return b.tokens >= 1 }
 
-// Spend pays for one extra attempt; false: there is nothing to pay it with.
+// Spend takes a token for one extra attempt, and reports whether there was one.
 func (b *Budget) Spend() bool {
 	if !b.Allows() {
 		return false
@@ -82,7 +73,7 @@
 	return true
 }
 
-// Fill is how full the bucket is, from 0 to 1.
+// Fill is the fill level of the bucket, 0 to 1.
 func (b *Budget) Fill() float64 {
 	if b.burst <= 0 {
 		return 0
