--- a/snapshot/pins.go
+++ b/snapshot/pins.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// refreshAfter bounds how old the published pins may be; a choice that
-// depends on time alone (a refusal that no longer counts) is seen that late.
-const refreshAfter = 100 * time.Millisecond
+// refreshInterval bounds the age of the published pins, and so the delay of
+// choices that depend on time alone, such as an expired refusal.
+const refreshInterval = 100 * time.Millisecond
 
-// Pins serves the pinned snapshots to traffic goroutines, which only read an
-// atomic pointer. What they learn changes the tracker only when it is news.
+// Pins serves the snapshots to pin for new queries. Readers only load an atomic
+// pointer; reports take a lock only if they change the tracker.
 type Pins struct {
 	now     func() time.Time
 	current atomic.Pointer[pinView]
@@ -22,9 +22,9 @@
 
 // pinView is immutable.
 type pinView struct {
-	at    time.Time
-	pins  map[string]*Snapshot
-	known map[holding]time.Time
+	at     time.Time
+	pins   map[string]*Snapshot // by index
+	heldAt map[holding]time.Time
 }
 
 // NewPins makes pins without snapshots.
@@ -46,15 +46,15 @@
 // Pin returns the snapshot for a new query of the index; nil when there is none.
 func (p *Pins) Pin(index string) *Snapshot {
 	view := p.current.Load()
-	if p.now().Sub(view.at) > refreshAfter {
+	if p.now().Sub(view.at) > refreshInterval {
 		view = p.refresh()
 	}
 	return view.pins[index]
 }
 
-// Learn notes what a backend server of the service says that it holds.
+// Learn records which versions a backend server of the service reports to hold.
 func (p *Pins) Learn(service, index string, held []Version) {
-	if !p.news(service, index, held) {
+	if !p.needsUpdate(service, index, held) {
 		return
 	}
 	p.mu.Lock()
@@ -63,7 +63,7 @@
 	p.rebuild()
 }
 
-// Lacked notes that a service's replicas refused a version they lack.
+// Lacked records that a service's replicas refused a version that they lack.
 func (p *Pins) Lacked(service, index string, version Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,13 +71,13 @@
 	p.rebuild()
 }
 
-// news reports whether a holding is new, or its last note is old enough to
-// need another one; most replies say nothing new and cost map reads only.
-func (p *Pins) news(service, index string, held []Version) bool {
-	known := p.current.Load().known
+// needsUpdate reports whether a version is new, or its record is old enough to be
+// renewed. Most reports change nothing and cost map reads only.
+func (p *Pins) needsUpdate(service, index string, held []Version) bool {
+	heldAt := p.current.Load().heldAt
 	for _, version := range held {
-		at, ok := known[holding{reporter{index, service}, version}]
-		if !ok || p.now().Sub(at) > heldFor/2 {
+		at, ok := heldAt[holding{reporter{index, service}, version}]
+		if !ok || p.now().Sub(at) > heldTTL/2 {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 func (p *Pins) refresh() *pinView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if view := p.current.Load(); p.now().Sub(view.at) <= refreshAfter {
+	if view := p.current.Load(); p.now().Sub(view.at) <= refreshInterval {
 		return view
 	}
 	return p.rebuild()
@@ -95,11 +95,11 @@
 
 func (p *Pins) rebuild() *pinView {
 	now := p.now()
-	p.tracker.Forget(now)
+	p.tracker.Expire(now)
 	view := &pinView{
-		at:    now,
-		pins:  make(map[string]*Snapshot),
-		known: make(map[holding]time.Time, len(p.tracker.held)),
+		at:     now,
+		pins:   make(map[string]*Snapshot),
+		heldAt: make(map[holding]time.Time, len(p.tracker.held)),
 	}
 	for _, index := range p.tracker.Indexes() {
 		if s := p.tracker.Pin(now, index); s != nil {
@@ -107,7 +107,7 @@
 		}
 	}
 	for h, at := range p.tracker.held {
-		view.known[h] = at
+		view.heldAt[h] = at
 	}
 	p.current.Store(view)
 	return view
--- a/snapshot/tracker.go
+++ b/snapshot/tracker.go
@@ -6,26 +6,23 @@
 )
 
 const (
-	// heldFor is how long a backend server's word that it holds a snapshot
-	// counts: some replies of every service in use come within seconds.
-	heldFor = 10 * time.Second
-	// lackedFor is how long a refusal for a missing snapshot counts. It is
-	// short: a replica that loads a snapshot will hold it in a moment.
-	lackedFor = 2 * time.Second
+	// heldTTL is how long a backend server's report that it holds a snapshot
+	// counts. Services in use renew it within seconds.
+	heldTTL = 10 * time.Second
+	// lackedTTL is how long a refusal for a missing snapshot counts. It is short,
+	// since the replica may be loading the snapshot.
+	lackedTTL = 2 * time.Second
 )
 
-// Tracker chooses the snapshot that a new query pins: the newest one for which
-// some replica of every shard is known to hold it. It is pure state; its owner
-// serialises the calls.
-//
-// Load: an index publishes a version while thousands of queries run, and its
-// replicas load it one after the other. Harm prevented: a query that pins a
-// version too early is refused by the replicas that lack it, and starts again.
+// Tracker chooses the snapshot that a new query pins: the newest one of which a
+// replica of every shard is known to hold its part. While an index publishes a
+// version under load, a query that pinned it too early would be refused by the
+// replicas that lack it, and restarted. It is not safe for concurrent use.
 type Tracker struct {
 	published map[string][]*Snapshot // by index, newest first
-	held      map[holding]time.Time
-	lacked    map[holding]time.Time
-	reported  map[reporter]time.Time
+	held      map[holding]time.Time  // last report
+	lacked    map[holding]time.Time  // last refusal
+	reported  map[reporter]time.Time // last report of any version
 }
 
 type reporter struct{ index, service string }
@@ -35,7 +32,7 @@
 	version Version
 }
 
-// NewTracker makes a tracker that knows of no snapshot.
+// NewTracker makes a tracker without snapshots.
 func NewTracker() *Tracker {
 	return &Tracker{
 		published: make(map[string][]*Snapshot),
@@ -45,8 +42,8 @@
 	}
 }
 
-// Publish replaces the known snapshots of all indexes. Invalid ones are left
-// out; the count of these is returned.
+// Publish replaces the snapshots of all indexes. It skips invalid ones and returns
+// their number.
 func (t *Tracker) Publish(all []*Snapshot) (invalid int) {
 	t.published = make(map[string][]*Snapshot)
 	for _, s := range all {
@@ -62,7 +59,7 @@
 	return invalid
 }
 
-// Held notes which versions of an index a backend server of the service holds.
+// Held records which versions of an index a backend server of the service holds.
 func (t *Tracker) Held(now time.Time, service, index string, versions []Version) {
 	from := reporter{index, service}
 	t.reported[from] = now
@@ -73,25 +70,25 @@
 	}
 }
 
-// Lacked notes that the replicas of a service refused a version they lack.
+// Lacked records that the replicas of a service refused a version that they lack.
 func (t *Tracker) Lacked(now time.Time, service, index string, version Version) {
 	h := holding{reporter{index, service}, version}
 	t.lacked[h] = now
 	delete(t.held, h)
 }
 
-// Pin returns the snapshot for a new query of the index; nil when there is
-// none. If no snapshot is held everywhere, it is the one whose shards are held
-// best: the query's coverage then says what is missing.
+// Pin returns the snapshot for a new query of the index; nil when there is none.
+// If no snapshot is held completely, it is the newest of those that lack the
+// fewest shards.
 func (t *Tracker) Pin(now time.Time, index string) *Snapshot {
 	var best *Snapshot
-	fewest := 0
+	fewestLacking := 0
 	for _, s := range t.published[index] {
-		lacking := t.lacking(now, s)
-		if best == nil || lacking < fewest {
-			best, fewest = s, lacking
+		lackingShards := t.lackingShards(now, s)
+		if best == nil || lackingShards < fewestLacking {
+			best, fewestLacking = s, lackingShards
 		}
-		if fewest == 0 {
+		if fewestLacking == 0 {
 			break
 		}
 	}
@@ -108,51 +105,50 @@
 	return names
 }
 
-// lacking counts the shards that no replica is known to hold.
-func (t *Tracker) lacking(now time.Time, s *Snapshot) int {
+// lackingShards counts the shards that no replica is known to hold.
+func (t *Tracker) lackingShards(now time.Time, s *Snapshot) int {
 	n := 0
 	for _, shard := range s.Shards {
-		if !t.heldBy(now, shard.Service, s) {
+		if !t.isHeldBy(now, shard.Service, s) {
 			n++
 		}
 	}
 	return n
 }
 
-// heldBy trusts what the service's servers said lately. Of a service that said
-// nothing it assumes the best: its first reply tells, and the query restarts
-// once if it was wrong.
-func (t *Tracker) heldBy(now time.Time, service string, s *Snapshot) bool {
+// isHeldBy reports whether the service holds its part of the snapshot, by the
+// recent reports of its servers. Without any report it is presumed to: if not,
+// the first query is restarted.
+func (t *Tracker) isHeldBy(now time.Time, service string, s *Snapshot) bool {
 	from := reporter{s.Index, service}
 	h := holding{from, s.Version}
-	if within(now, t.held[h], heldFor) {
+	if isRecent(now, t.held[h], heldTTL) {
 		return true
 	}
-	if within(now, t.lacked[h], lackedFor) {
+	if isRecent(now, t.lacked[h], lackedTTL) {
 		return false
 	}
-	return !within(now, t.reported[from], heldFor)
+	return !isRecent(now, t.reported[from], heldTTL)
 }
 
-func within(now, then time.Time, limit time.Duration) bool {
-	return !then.IsZero() && now.Sub(then) < limit
+func isRecent(now, then time.Time, ttl time.Duration) bool {
+	return !then.IsZero() && now.Sub(then) < ttl
 }
 
-// Forget drops what is too old to count, so that memory follows the indexes
-// and services in use.
-func (t *Tracker) Forget(now time.Time) {
+// Expire drops the records that are too old to count, to bound the memory.
+func (t *Tracker) Expire(now time.Time) {
 	for h, at := range t.held {
-		if !within(now, at, heldFor) {
+		if !isRecent(now, at, heldTTL) {
 			delete(t.held, h)
 		}
 	}
 	for h, at := range t.lacked {
-		if !within(now, at, lackedFor) {
+		if !isRecent(now, at, lackedTTL) {
 			delete(t.lacked, h)
 		}
 	}
 	for r, at := range t.reported {
-		if !within(now, at, heldFor) {
+		if !isRecent(now, at, heldTTL) {
 			delete(t.reported, r)
 		}
 	}
