--- a/result/document.go
+++ b/result/document.go
@@ -25,14 +25,14 @@
 so only a search may be sent again, or a booking under the same ticket.
 `
 
-// Document writes docs/result-codes.md.
+// Document renders docs/result-codes.md.
 func Document() string {
 	var b strings.Builder
 	b.WriteString(documentHead)
-	last := Group(0)
+	current := Group(0)
 	for _, info := range table {
-		if group := info.Code.Group(); group != last {
-			last = group
+		if group := info.Code.Group(); group != current {
+			current = group
 			fmt.Fprintf(&b, "\n## %s\n\n", groupTitles[group])
 			b.WriteString("| code | name | HTTP | send again | meaning for the caller | what the operator does |\n")
 			b.WriteString("| --- | --- | --- | --- | --- | --- |\n")
--- a/result/outcome.go
+++ b/result/outcome.go
@@ -1,26 +1,26 @@
 package result
 
-// Outcome says how far one attempt at a backend server got. Whether a caller
-// may be told "not run" follows from the outcomes of all attempts.
+// Outcome is how far one attempt at a backend server got. A caller is told "not
+// run" only if all attempts of its request have not run.
 type Outcome uint8
 
-// The outcomes of an attempt. OutcomeUnknown is the zero value: an attempt of
-// which nothing is known must be taken as one that may have run.
+// The outcomes of an attempt. OutcomeUnknown is the zero value, so that an attempt
+// without a known outcome counts as one that may have run.
 const (
-	// OutcomeUnknown: sent, and no trustworthy reply came back.
+	// OutcomeUnknown: sent, without a valid reply.
 	OutcomeUnknown Outcome = iota
-	// OutcomeUnsent: nothing of the attempt left this host.
+	// OutcomeUnsent: nothing was sent.
 	OutcomeUnsent
-	// OutcomeRefused: the backend server said that it did not start the work.
+	// OutcomeRefused: the backend server replied that it did not run the request.
 	OutcomeRefused
-	// OutcomeRan: the backend server ran the work and its whole reply arrived.
+	// OutcomeRan: the backend server ran the request and its whole reply arrived.
 	OutcomeRan
 )
 
-// NotRun reports whether the attempt surely ran nowhere.
+// NotRun reports whether the attempt certainly did not run.
 func (o Outcome) NotRun() bool { return o == OutcomeUnsent || o == OutcomeRefused }
 
-// String names the outcome as metrics and logs do.
+// String is the name in metrics and logs.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeUnsent:
--- a/result/result.go
+++ b/result/result.go
@@ -1,5 +1,5 @@
-// Package result owns the numbered result codes: what a caller is told about
-// its request, whether it may send it again, and what an operator does.
+// Package result defines the numbered result codes: the result of a request,
+// whether the caller may resend it, and what an operator can do about it.
 // docs/result-codes.md is generated from the table of this package.
 package result
 
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Code is a numbered result of a request. The hundreds digit is its Group.
+// Code is the numbered result of a request. Its hundreds digit is its Group.
 type Code int
 
-// Group gathers the codes that mean the same for the caller's next step.
+// Group is a set of codes with the same consequence for the caller.
 type Group int
 
 // The groups of codes.
 const (
-	// GroupComplete: the whole answer, from every shard.
+	// GroupComplete: an answer from every shard.
 	GroupComplete Group = 1
 	// GroupPartial: an answer that names the shards it lacks.
 	GroupPartial Group = 2
@@ -25,11 +25,11 @@
 	GroupNotRun Group = 3
 	// GroupUnknown: the request may or may not have run.
 	GroupUnknown Group = 4
-	// GroupFailed: the request ran, at least in part, and gave no answer.
+	// GroupFailed: the request ran, at least in part, without an answer.
 	GroupFailed Group = 5
 )
 
-// The codes. Numbers are never reused for another meaning.
+// The codes. Numbers are never reused.
 const (
 	Complete Code = 100
 
@@ -66,18 +66,18 @@
 	DeadlineExceeded Code = 504
 )
 
-// Resend tells a caller whether it may send the same request again.
+// Resend tells a caller whether it may resend the same request.
 type Resend string
 
-// The answers to "may I send it again?".
+// The values of Resend.
 const (
 	// ResendNo: the same request would get the same result.
 	ResendNo Resend = "no"
-	// ResendLater: nothing ran; send it again after the stated time.
+	// ResendLater: nothing ran; resend it after the retry delay.
 	ResendLater Resend = "later"
-	// ResendElsewhere: nothing ran; send it now to another entry host.
+	// ResendElsewhere: nothing ran; resend it at once to another entry host.
 	ResendElsewhere Resend = "elsewhere"
-	// ResendIdempotent: it may have run; only an idempotent request may be sent again.
+	// ResendIdempotent: it may have run; only an idempotent request may be resent.
 	ResendIdempotent Resend = "idempotent-only"
 )
 
@@ -134,8 +134,8 @@
 // Table returns every code in ascending order.
 func Table() []Info { return append([]Info(nil), table...) }
 
-// Info returns the row of the code; an unlisted code reads as OutcomeNotKnown,
-// the only one that claims nothing.
+// Info returns the row of the code. An unlisted code reads as OutcomeNotKnown,
+// which makes no claim about the request.
 func (c Code) Info() Info {
 	if info, ok := byCode[c]; ok {
 		return info
@@ -152,14 +152,14 @@
 // String is the code's stable name.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is a result code with its detail. It is safe to show to callers: it
-// holds no secret and no address of a backend server.
+// Error is a result code with its detail. It is shown to callers, so it must not
+// hold secrets or addresses of backend servers.
 type Error struct {
 	Code   Code
 	Detail string
-	// RetryAfter is when it is worth sending again; zero: not stated.
+	// RetryAfter is the delay before a retry; zero: not stated.
 	RetryAfter time.Duration
-	// Hosts are addresses of entry hosts to use in place of this one.
+	// Hosts are the addresses of other entry hosts to use.
 	Hosts []string
 }
 
@@ -168,7 +168,7 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Error writes number, name and detail on one line.
+// Error returns number, name and detail on one line.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return fmt.Sprintf("%d %s", int(e.Code), e.Code)
