--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,5 @@
-// Package route owns the routes of requests that are passed on as their callers
-// sent them: which route a request takes, which services it goes to, and within
-// which limits. It is pure.
+// Package route matches forwarded requests to the operator's routes: which
+// services a request goes to, and within which limits.
 package route
 
 import (
@@ -14,59 +13,61 @@
 
 // Config is one version of the operator's configuration.
 type Config struct {
-	// Version rises with each configuration, in uneven steps.
+	// Version increases with each configuration, not always by one.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 }
 
-// Limits bound what a caller may send on a connection. Zero: no bound stated.
+// Limits bound what a caller may send on a connection. Zero: not stated.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderTime  time.Duration // for the head of a request
+	HeaderTime  time.Duration // to receive the headers of a request
 	IdleTime    time.Duration // between two requests
 }
 
-// Service is a set of backend servers that answer equally well.
+// Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// Connections is each backend server's limit over all hosts; 0: not known.
+	// Connections is the limit of each backend server, over all entry hosts; 0:
+	// not known.
 	Connections int
-	// Warmup is what its backend servers bear while they are cold.
+	// Warmup limits the load of backend servers that have just started.
 	Warmup eligible.Warmup
 }
 
-// Route says where requests of a host name and path prefix go.
+// Route is where requests with a host name and path prefix go.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	// Idempotent requests may run more than once; others at most once.
 	Idempotent bool
-	// Timeout is the longest a request is kept waiting.
+	// Timeout is the longest time until a request is answered.
 	Timeout time.Duration
-	// Target is the latency within which an answer has its full worth.
+	// Target is the latency within which an answer has its full value.
 	Target time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// MaxServers bounds the backend servers that one request, or one shard's
 	// part of it, may be sent to; 0: no bound.
 	MaxServers int
-	// Shares are the services of a plain route; one of them gets the request.
+	// Shares are the services of a plain route, of which one gets each request.
 	Shares []Share
-	// Shards are the services of a route that asks all of them; empty: plain.
+	// Shards are the services of a fan-out route, which all get each request;
+	// empty: a plain route.
 	Shards []string
-	// Greatest is how many records an answer of all shards holds.
+	// Greatest is the number of records in an answer of a fan-out route.
 	Greatest int
 	// LeastShare is the share of shards, 0 to 1, below which there is no answer.
 	LeastShare float64
-	// Regions are those whose backend servers may run the route's requests; empty: any.
+	// Regions are the regions whose backend servers may run requests; empty: any.
 	Regions []string
 }
 
-// Share is one service of a plain route and its weight against the others.
+// Share is one service of a plain route and its relative weight.
 type Share struct {
 	Service string
 	Weight  float64
@@ -87,10 +88,10 @@
 	return names
 }
 
-// Validate refuses what would make a request go nowhere or be judged wrongly.
+// Validate rejects a configuration by which requests could not be routed.
 func (c *Config) Validate() error {
 	if c.Version == 0 {
-		return errors.New("route: the configuration has no version")
+		return errors.New("route: configuration has no version")
 	}
 	known := make(map[string]bool, len(c.Services))
 	for _, service := range c.Services {
@@ -111,15 +112,15 @@
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return errors.Errorf("prefix %q must begin and end with a slash", r.Prefix)
 	case r.AsksAll() == (len(r.Shares) > 0):
-		return errors.New("it must name either shards or a service")
+		return errors.New("must have either shards or a service")
 	case r.AsksAll() && r.Greatest <= 0:
-		return errors.New("a route over shards must say how many records it returns")
+		return errors.New("a fan-out route must state the number of records to return")
 	case r.AsksAll() && !r.Idempotent:
-		return errors.New("a route over shards must be idempotent")
+		return errors.New("a fan-out route must be idempotent")
 	case r.LeastShare < 0 || r.LeastShare > 1:
-		return errors.Errorf("least share %v is not between 0 and 1", r.LeastShare)
+		return errors.Errorf("minimum share of shards %v is not between 0 and 1", r.LeastShare)
 	case r.Timeout < 0 || r.Target < 0:
-		return errors.New("a time is negative")
+		return errors.New("timeout or target latency is negative")
 	}
 	total := 0.0
 	for _, share := range r.Shares {
@@ -129,15 +130,15 @@
 		total += share.Weight
 	}
 	if len(r.Shares) > 0 && total <= 0 {
-		return errors.New("the weights add up to nothing")
+		return errors.New("the weights add up to zero")
 	}
 	seen := make(map[string]bool)
 	for _, name := range r.Services() {
 		if !known[name] {
-			return errors.Errorf("service %q is not among the services", name)
+			return errors.Errorf("service %q is not defined", name)
 		}
 		if seen[name] {
-			return errors.Errorf("service %q is named twice", name)
+			return errors.Errorf("service %q is listed twice", name)
 		}
 		seen[name] = true
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -7,80 +7,79 @@
 	"sync/atomic"
 )
 
-// Table finds routes in one version of the configuration. It is immutable but
-// for the counters that spread requests over shares; any goroutine may use it.
+// Table finds routes in one version of the configuration. It is safe for
+// concurrent use, and immutable but for the counters of weighted routes.
 type Table struct {
-	Config *Config
-	hosts  map[string]map[string]*entry // by host name, by prefix
-	bound  map[string][]string          // regions that all bound routes of a host name allow
+	Config         *Config
+	routes         map[string]map[string]*entry // by host name, by prefix
+	allowedRegions map[string][]string          // by host name, allowed by all of its restricted routes
 }
 
 type entry struct {
 	route *Route
-	// sent counts the requests of a route with several shares.
-	sent atomic.Uint64
+	// requests counts the requests of a weighted route.
+	requests atomic.Uint64
 }
 
 // NewTable indexes a valid configuration. Of two routes with the same host and
-// prefix the later one holds.
+// prefix the later one takes effect.
 func NewTable(config *Config) *Table {
-	t := &Table{Config: config, hosts: make(map[string]map[string]*entry), bound: make(map[string][]string)}
+	t := &Table{Config: config, routes: make(map[string]map[string]*entry), allowedRegions: make(map[string][]string)}
 	for i := range config.Routes {
 		r := &config.Routes[i]
 		host := strings.ToLower(r.Host)
-		if t.hosts[host] == nil {
-			t.hosts[host] = make(map[string]*entry)
+		if t.routes[host] == nil {
+			t.routes[host] = make(map[string]*entry)
 		}
-		t.hosts[host][r.Prefix] = &entry{route: r}
-		t.bind(host, r.Regions)
+		t.routes[host][r.Prefix] = &entry{route: r}
+		t.restrictRegions(host, r.Regions)
 	}
 	return t
 }
 
-// bind narrows the regions of a host name to those that one more of its routes allows.
-func (t *Table) bind(host string, regions []string) {
+// restrictRegions intersects the regions of a host name with those of one more of
+// its routes.
+func (t *Table) restrictRegions(host string, regions []string) {
 	if len(regions) == 0 {
 		return
 	}
-	before, bound := t.bound[host]
-	if !bound {
-		t.bound[host] = slices.Clone(regions)
+	existing, restricted := t.allowedRegions[host]
+	if !restricted {
+		t.allowedRegions[host] = slices.Clone(regions)
 		return
 	}
-	t.bound[host] = slices.DeleteFunc(before, func(region string) bool { return !slices.Contains(regions, region) })
+	t.allowedRegions[host] = slices.DeleteFunc(existing, func(region string) bool { return !slices.Contains(regions, region) })
 }
 
-// Regions are those that requests with the host name are bound to, whichever of its
-// routes they take; empty: they are not, or no region suits all of its routes.
-func (t *Table) Regions(host string) []string { return t.bound[normalHost(host)] }
+// Regions are the regions that all routes of the host name allow; empty: no route
+// is restricted, or no region is allowed by all.
+func (t *Table) Regions(host string) []string { return t.allowedRegions[normalizeHost(host)] }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, and for a plain route the service that gets this request.
+// Match returns the route of the host with the longest matching path prefix, and
+// for a plain route the service that gets this request.
 func (t *Table) Match(host, path string) (r *Route, service string, ok bool) {
-	prefixes := t.hosts[normalHost(host)]
+	prefixes := t.routes[normalizeHost(host)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if e := prefixes[path[:end+1]]; e != nil {
-			return e.route, e.share(), true
+			return e.route, e.nextService(), true
 		}
 	}
 	return nil, "", false
 }
 
-// normalHost drops the port and the case, which say nothing about the route.
-func normalHost(host string) string {
+// normalizeHost removes the port and converts to lower case.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
-// share draws the service of the next request.
-//
-// Load: a few hundred requests in seconds on a route that is split 9 to 1. Harm
-// prevented: independent draws miss a share by several percent of all requests
-// at such numbers. Multiples of the golden ratio, modulo 1, fall evenly: of n
-// requests each share gets its part to within about one.
-func (e *entry) share() string {
+// nextService chooses the service of the next request by weight. Multiples of the
+// golden ratio, modulo 1, spread evenly, so that each service's share is exact to
+// about one request; random draws would miss it by several percent over a few
+// hundred requests.
+func (e *entry) nextService() string {
 	shares := e.route.Shares
 	if len(shares) <= 1 {
 		if len(shares) == 0 {
@@ -92,18 +91,18 @@
 	for _, s := range shares {
 		total += s.Weight
 	}
-	_, at := math.Modf(float64(e.sent.Add(1)) * math.Phi)
-	at *= total
+	_, point := math.Modf(float64(e.requests.Add(1)) * math.Phi)
+	point *= total
 	for _, s := range shares {
-		if at < s.Weight {
+		if point < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		point -= s.Weight
 	}
 	return heaviest(shares)
 }
 
-// heaviest catches what rounding leaves over, and is never a share of weight 0.
+// heaviest is the fallback for rounding errors; it never has weight 0.
 func heaviest(shares []Share) string {
 	best := shares[0]
 	for _, s := range shares[1:] {
