--- a/quarantine/lostquery.go
+++ b/quarantine/lostquery.go
@@ -24,7 +24,7 @@
 	lost        int      // number of services that were lost
 }
 
-// LostQuery is called at the entry host of a query when every leg was lost with
+// RecordLostQuery is called at the entry host of a query when every leg was lost with
 // its server. A request that crashes one server of each of its services at once
 // would crash the others too before a second event can be recorded, so this
 // loss is evidence by itself if
@@ -35,7 +35,7 @@
 //     rules out a power loss.
 //
 // A request that only ran beside it loses some of its legs, but not all.
-func (b *Book) LostQuery(now time.Time, f Fingerprint, services []string) {
+func (b *Registry) RecordLostQuery(now time.Time, f Fingerprint, services []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(services) < minLostServices || b.verdicts.Contains(f) {
@@ -48,10 +48,10 @@
 	b.lostQueries = append(b.lostQueries, &lostQuery{fingerprint: f, at: now, unconfirmed: slices.Clone(services), lost: len(services)})
 }
 
-// LegAnswered is called at the entry host of a query for each answered leg. A
+// RecordLegSuccess is called at the entry host of a query for each answered leg. A
 // query that started before the loss of another one confirms nothing. It
 // returns the fingerprint that is quarantined now, if any.
-func (b *Book) LegAnswered(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
+func (b *Registry) RecordLegSuccess(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, q := range b.lostQueries {
@@ -69,11 +69,11 @@
 	return 0, false
 }
 
-func (b *Book) addLostQueryVerdict(now time.Time, q *lostQuery) {
-	e := News{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
+func (b *Registry) addLostQueryVerdict(now time.Time, q *lostQuery) {
+	e := Evidence{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
 	b.knownEvidence.Add(e, struct{}{})
 	until := now.Add(time.Duration(b.cfg.Policy.QuarantineFor))
-	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []News{e}})
+	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []Evidence{e}})
 }
 
 // lostQueryServer stands in the evidence for the servers of all the query's legs.
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// News is one crash that a verdict rests on, as hosts exchange it. It has the
+// Evidence is one crash that a verdict rests on, as hosts exchange it. It has the
 // fields of the membership's SuspectRequestNews.
-type News struct {
+type Evidence struct {
 	Fingerprint Fingerprint
 	Server      string
 	Incarnation uint64
 	InFlight    uint32 // number of suspects of the crash
 }
 
-// ToNews lists the evidence of the verdicts in force, to be sent to other hosts.
-func (b *Book) ToNews(now time.Time) []News {
+// ActiveEvidence lists the evidence of the verdicts in force, to be sent to other hosts.
+func (b *Registry) ActiveEvidence(now time.Time) []Evidence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var all []News
+	var all []Evidence
 	for _, f := range b.verdicts.Keys() {
 		if v, ok := b.verdicts.Peek(f); ok && !now.After(v.until) {
 			all = append(all, v.evidence...)
@@ -27,13 +27,13 @@
 	return all
 }
 
-// Absorb adds the verdicts of another host and returns the evidence that was
+// Merge adds the verdicts of another host and returns the evidence that was
 // new. Each piece of evidence counts once: a late or repeated one does not
 // revive an expired verdict.
-func (b *Book) Absorb(now time.Time, received []News) []News {
+func (b *Registry) Merge(now time.Time, received []Evidence) []Evidence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var fresh []News
+	var fresh []Evidence
 	for _, e := range received {
 		if b.knownEvidence.Contains(e) {
 			continue
@@ -60,7 +60,7 @@
 }
 
 // Entries lists the verdicts in force, oldest first.
-func (b *Book) Entries(now time.Time) []Entry {
+func (b *Registry) Entries(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var entries []Entry
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -36,25 +36,25 @@
 	Incarnation uint64
 }
 
-// Death is a presumed crash of a server, with the requests that may have
+// Crash is a presumed crash of a server, with the requests that may have
 // caused it.
-type Death struct {
+type Crash struct {
 	Server
-	// Blamed are the requests that ran, or may still have run, on the server.
-	Blamed []Blame
+	// Suspects are the requests that ran, or may still have run, on the server.
+	Suspects []Suspect
 }
 
-// Blame is one request that may have caused a crash.
-type Blame struct {
+// Suspect is one request that may have caused a crash.
+type Suspect struct {
 	Fingerprint Fingerprint
 	Started     time.Time // of the latest attempt on the server
 }
 
 // Event is what a Tracker detected; at most one field is set.
 type Event struct {
-	Died *Death
-	// Lives is a server that was presumed crashed and has answered since.
-	Lives *Server
+	Crashed *Crash
+	// Recovered is a server that was presumed crashed and has answered since.
+	Recovered *Server
 }
 
 // Tracker knows which attempts run on the backend servers that this host sends to.
@@ -85,8 +85,8 @@
 	return &Tracker{servers: make(map[string]*trackedServer), attempts: make(map[ident.AttemptID]*attempt)}
 }
 
-// Start records that an attempt was sent to a server.
-func (t *Tracker) Start(now time.Time, id ident.AttemptID, server Server, f Fingerprint) {
+// AttemptStarted records that an attempt was sent to a server.
+func (t *Tracker) AttemptStarted(now time.Time, id ident.AttemptID, server Server, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[server.Name]
@@ -99,7 +99,7 @@
 	t.attempts[id] = a
 }
 
-// End records how an attempt ended, and returns the crash or recovery that
+// AttemptEnded records how an attempt ended, and returns the crash or recovery that
 // follows from it. incarnation is the one that a reply named; zero: none.
 //
 // A new incarnation proves a crash. Several connections that break at once, or
@@ -108,7 +108,7 @@
 // when the same incarnation answers an attempt that was sent later; answers to
 // earlier ones may have been sent before the crash. A single break counts for
 // nothing, since connections also break while their server runs.
-func (t *Tracker) End(now time.Time, id ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
+func (t *Tracker) AttemptEnded(now time.Time, id ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.attempts[id]
@@ -132,11 +132,11 @@
 	return Event{}
 }
 
-// Unreachable records that a new connection to the server was refused. The
+// ConnectRefused records that a new connection to the server was refused. The
 // server should be dialled once right after each break: with a single request
 // in flight, only that tells a crash from a broken connection before the
 // restart.
-func (t *Tracker) Unreachable(now time.Time, name string) Event {
+func (t *Tracker) ConnectRefused(now time.Time, name string) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[name]
@@ -146,9 +146,9 @@
 	return on.handleUnreachable(now)
 }
 
-// Incarnation records the server's incarnation that the host list, or the
+// ObserveIncarnation records the server's incarnation that the host list, or the
 // server itself, reports.
-func (t *Tracker) Incarnation(now time.Time, name string, incarnation uint64) Event {
+func (t *Tracker) ObserveIncarnation(now time.Time, name string, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[name]
@@ -182,7 +182,7 @@
 	}
 	s.crashed = false
 	server := s.server
-	return Event{Lives: &server}
+	return Event{Recovered: &server}
 }
 
 func (s *trackedServer) handleBreak(now time.Time, a *attempt) Event {
@@ -227,30 +227,30 @@
 		return Event{}
 	}
 	s.crashed, s.crashedAt = true, now
-	crash := &Death{Server: s.server}
+	crash := &Crash{Server: s.server}
 	for _, a := range s.running {
 		crash.addSuspect(a)
 	}
 	for _, a := range slices.Concat(s.broken, s.lingering) {
 		crash.addSuspect(a)
 	}
-	slices.SortFunc(crash.Blamed, func(x, y Blame) int {
+	slices.SortFunc(crash.Suspects, func(x, y Suspect) int {
 		return cmp.Or(x.Started.Compare(y.Started), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
-	return Event{Died: crash}
+	return Event{Crashed: crash}
 }
 
 // addSuspect adds a request once, however many of its attempts ran here.
-func (c *Death) addSuspect(a *attempt) {
-	for i := range c.Blamed {
-		if c.Blamed[i].Fingerprint == a.fingerprint {
-			if a.startedAt.After(c.Blamed[i].Started) {
-				c.Blamed[i].Started = a.startedAt
+func (c *Crash) addSuspect(a *attempt) {
+	for i := range c.Suspects {
+		if c.Suspects[i].Fingerprint == a.fingerprint {
+			if a.startedAt.After(c.Suspects[i].Started) {
+				c.Suspects[i].Started = a.startedAt
 			}
 			return
 		}
 	}
-	c.Blamed = append(c.Blamed, Blame{a.fingerprint, a.startedAt})
+	c.Suspects = append(c.Suspects, Suspect{a.fingerprint, a.startedAt})
 }
 
 func (s *trackedServer) expire(now time.Time) {
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -6,7 +6,7 @@
 
 // crashesAgainst lists the crashes that count as evidence against the request
 // in the service.
-func (b *Book) crashesAgainst(now time.Time, f Fingerprint, service string) []*recordedCrash {
+func (b *Registry) crashesAgainst(now time.Time, f Fingerprint, service string) []*recordedCrash {
 	var crashes []*recordedCrash
 	for _, c := range b.crashes {
 		if c.Service == service && now.Sub(c.at) <= evidenceTTL && c.blame(f) > 0 && !b.isMassCrash(c, f) {
@@ -18,7 +18,7 @@
 
 // isMassCrash reports whether another server crashed at about the same time
 // without the request running on it.
-func (b *Book) isMassCrash(crash *recordedCrash, f Fingerprint) bool {
+func (b *Registry) isMassCrash(crash *recordedCrash, f Fingerprint) bool {
 	for _, other := range b.crashes {
 		apart := other.at.Sub(crash.at).Abs()
 		if other.Name != crash.Name && apart <= massCrashWindow && !other.hasSuspect(f) {
@@ -38,7 +38,7 @@
 //   - most of the service's crashes, since a service that crashes by itself
 //     would incriminate any long-running request;
 //   - a clear lead in blame over every other suspect.
-func (b *Book) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
+func (b *Registry) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
 	if b.verdicts.Contains(f) {
 		return false
 	}
@@ -54,7 +54,7 @@
 }
 
 // enoughEvents reports whether there are enough separate events and servers.
-func (b *Book) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
+func (b *Registry) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
 	events := 0
 	var last time.Time
 	servers := make(map[string]bool)
@@ -69,7 +69,7 @@
 	return events >= b.requiredEvents(now, f) && (len(servers) >= required || len(crashes) >= required+extraCrashes)
 }
 
-func (b *Book) requiredEvents(now time.Time, f Fingerprint) int {
+func (b *Registry) requiredEvents(now time.Time, f Fingerprint) int {
 	if answered, ok := b.lastSuccess.Peek(f); ok && now.Sub(answered) <= evidenceTTL {
 		return minEventsIfProven
 	}
@@ -78,7 +78,7 @@
 
 // startOf is when the request's latest attempt on the crashed server started.
 func (c *recordedCrash) startOf(f Fingerprint) time.Time {
-	for _, suspect := range c.Blamed {
+	for _, suspect := range c.Suspects {
 		if suspect.Fingerprint == f {
 			return suspect.Started
 		}
@@ -88,7 +88,7 @@
 
 // mostCrashes reports whether the crashes are at least half of the service's
 // since the first of them.
-func (b *Book) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
+func (b *Registry) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
 	all := 0
 	for _, c := range b.crashes {
 		if c.Service == service && !c.at.Before(crashes[0].at) && now.Sub(c.at) <= evidenceTTL {
@@ -101,7 +101,7 @@
 func hasBlameLead(crashes []*recordedCrash, f Fingerprint) bool {
 	scores := make(map[Fingerprint]float64)
 	for _, c := range crashes {
-		for _, suspect := range c.Blamed {
+		for _, suspect := range c.Suspects {
 			scores[suspect.Fingerprint] += c.blame(suspect.Fingerprint)
 		}
 	}
@@ -113,10 +113,10 @@
 	return true
 }
 
-func (b *Book) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
+func (b *Registry) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
 	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
 	for _, c := range crashes {
-		e := News{Fingerprint: f, Server: c.Name, Incarnation: c.Incarnation, InFlight: uint32(len(c.Blamed))}
+		e := Evidence{Fingerprint: f, Server: c.Name, Incarnation: c.Incarnation, InFlight: uint32(len(c.Suspects))}
 		v.evidence = append(v.evidence, e)
 		b.knownEvidence.Add(e, struct{}{})
 	}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -29,16 +29,16 @@
 	return Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// NewPartBudget makes a budget that starts with a part of its burst, 0 to 1, such
+// NewPartialBudget makes a budget that starts with a part of its burst, 0 to 1, such
 // as that of a host that may have spent its burst just before a restart.
-func NewPartBudget(ratio, burst, part float64) Budget {
+func NewPartialBudget(ratio, burst, part float64) Budget {
 	b := NewBudget(ratio, burst)
 	b.tokens *= part
 	return b
 }
 
-// Set changes the limits and keeps the tokens that still fit.
-func (b *Budget) Set(ratio, burst float64) {
+// SetLimits changes the limits and keeps the tokens that still fit.
+func (b *Budget) SetLimits(ratio, burst float64) {
 	updated := NewBudget(ratio, burst)
 	updated.tokens = min(b.tokens, updated.burst)
 	updated.perSecond, updated.refilledAt = b.perSecond, b.refilledAt
@@ -48,33 +48,33 @@
 // Earn adds the tokens of one first attempt.
 func (b *Budget) Earn() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
-// SetRate sets the refill by time, in attempts a second. It lets a service with
+// SetRefillRate sets the refill by time, in attempts a second. It lets a service with
 // few requests use an allowance that is defined per time span: in any span, the
 // bucket gives at most its burst and what is refilled meanwhile.
-func (b *Budget) SetRate(perSecond float64) { b.perSecond = perSecond }
+func (b *Budget) SetRefillRate(perSecond float64) { b.perSecond = perSecond }
 
-// Pass refills the tokens for the time since the last call.
-func (b *Budget) Pass(now time.Time) {
+// Refill refills the tokens for the time since the last call.
+func (b *Budget) Refill(now time.Time) {
 	if !b.refilledAt.IsZero() && now.After(b.refilledAt) {
 		b.tokens = min(b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds(), b.burst)
 	}
 	b.refilledAt = now
 }
 
-// Allows reports whether an extra attempt is within the budget.
-func (b *Budget) Allows() bool { return b.tokens >= 1 }
+// CanSpend reports whether an extra attempt is within the budget.
+func (b *Budget) CanSpend() bool { return b.tokens >= 1 }
 
 // Spend takes a token for one extra attempt, and reports whether there was one.
 func (b *Budget) Spend() bool {
-	if !b.Allows() {
+	if !b.CanSpend() {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Fill is the fill level of the bucket, 0 to 1.
-func (b *Budget) Fill() float64 {
+// FillRatio is the fill level of the bucket, 0 to 1.
+func (b *Budget) FillRatio() float64 {
 	if b.burst <= 0 {
 		return 0
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -22,18 +22,18 @@
 
 // Limits bound what a caller may send on a connection. Zero: not stated.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration // to receive the headers of a request
-	IdleTime    time.Duration // between two requests
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration // to receive the headers of a request
+	IdleTimeout    time.Duration // between two requests
 }
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// Connections is the limit of each backend server, over all entry hosts; 0:
+	// MaxConnections is the limit of each backend server, over all entry hosts; 0:
 	// not known.
-	Connections int
+	MaxConnections int
 	// Warmup limits the load of backend servers that have just started.
 	Warmup eligible.Warmup
 }
@@ -47,42 +47,42 @@
 	Idempotent bool
 	// Timeout is the longest time until a request is answered.
 	Timeout time.Duration
-	// Target is the latency within which an answer has its full value.
-	Target time.Duration
+	// TargetLatency is the latency within which an answer has its full value.
+	TargetLatency time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// MaxServers bounds the backend servers that one request, or one shard's
 	// part of it, may be sent to; 0: no bound.
 	MaxServers int
-	// Shares are the services of a plain route, of which one gets each request.
-	Shares []Share
+	// WeightedServices are the services of a plain route, of which one gets each request.
+	WeightedServices []WeightedService
 	// Shards are the services of a fan-out route, which all get each request;
 	// empty: a plain route.
 	Shards []string
-	// Greatest is the number of records in an answer of a fan-out route.
-	Greatest int
-	// LeastShare is the share of shards, 0 to 1, below which there is no answer.
-	LeastShare float64
+	// TopK is the number of records in an answer of a fan-out route.
+	TopK int
+	// MinShardShare is the share of shards, 0 to 1, below which there is no answer.
+	MinShardShare float64
 	// Regions are the regions whose backend servers may run requests; empty: any.
 	Regions []string
 }
 
-// Share is one service of a plain route and its relative weight.
-type Share struct {
+// WeightedService is one service of a plain route and its relative weight.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// AsksAll reports whether requests go to every shard.
-func (r *Route) AsksAll() bool { return len(r.Shards) > 0 }
+// IsFanout reports whether requests go to every shard.
+func (r *Route) IsFanout() bool { return len(r.Shards) > 0 }
 
 // Services lists the services that requests on the route may go to.
 func (r *Route) Services() []string {
-	if r.AsksAll() {
+	if r.IsFanout() {
 		return r.Shards
 	}
-	names := make([]string, len(r.Shares))
-	for i, share := range r.Shares {
+	names := make([]string, len(r.WeightedServices))
+	for i, share := range r.WeightedServices {
 		names[i] = share.Service
 	}
 	return names
@@ -111,25 +111,25 @@
 		return errors.New("no host name")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return errors.Errorf("prefix %q must begin and end with a slash", r.Prefix)
-	case r.AsksAll() == (len(r.Shares) > 0):
+	case r.IsFanout() == (len(r.WeightedServices) > 0):
 		return errors.New("must have either shards or a service")
-	case r.AsksAll() && r.Greatest <= 0:
+	case r.IsFanout() && r.TopK <= 0:
 		return errors.New("a fan-out route must state the number of records to return")
-	case r.AsksAll() && !r.Idempotent:
+	case r.IsFanout() && !r.Idempotent:
 		return errors.New("a fan-out route must be idempotent")
-	case r.LeastShare < 0 || r.LeastShare > 1:
-		return errors.Errorf("minimum share of shards %v is not between 0 and 1", r.LeastShare)
-	case r.Timeout < 0 || r.Target < 0:
+	case r.MinShardShare < 0 || r.MinShardShare > 1:
+		return errors.Errorf("minimum share of shards %v is not between 0 and 1", r.MinShardShare)
+	case r.Timeout < 0 || r.TargetLatency < 0:
 		return errors.New("timeout or target latency is negative")
 	}
 	total := 0.0
-	for _, share := range r.Shares {
+	for _, share := range r.WeightedServices {
 		if share.Weight < 0 {
 			return errors.Errorf("the weight of service %s is negative", share.Service)
 		}
 		total += share.Weight
 	}
-	if len(r.Shares) > 0 && total <= 0 {
+	if len(r.WeightedServices) > 0 && total <= 0 {
 		return errors.New("the weights add up to zero")
 	}
 	seen := make(map[string]bool)
--- a/route/table.go
+++ b/route/table.go
@@ -80,7 +80,7 @@
 // about one request; random draws would miss it by several percent over a few
 // hundred requests.
 func (e *entry) nextService() string {
-	shares := e.route.Shares
+	shares := e.route.WeightedServices
 	if len(shares) <= 1 {
 		if len(shares) == 0 {
 			return ""
@@ -103,7 +103,7 @@
 }
 
 // heaviest is the fallback for rounding errors; it never has weight 0.
-func heaviest(shares []Share) string {
+func heaviest(shares []WeightedService) string {
 	best := shares[0]
 	for _, s := range shares[1:] {
 		if s.Weight > best.Weight {
--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// LeastParts is how many of the shards an answer needs for the coverage, 0 to 1.
-func LeastParts(coverage float64, total int) int {
+// RequiredShards is how many of the shards an answer needs for the coverage, 0 to 1.
+func RequiredShards(coverage float64, total int) int {
 	const rounding = 1e-9 // 0.55 of 20 shards must be 11, not 12
 	return int(math.Ceil(coverage*float64(total) - rounding))
 }
@@ -29,26 +29,26 @@
 	Optional []bool
 }
 
-// Decide compares the forecasts of a query's shards, in their order, with the
+// DecideAdmission compares the forecasts of a query's shards, in their order, with the
 // time that is left for legs to be in time.
 //
 // When services are above their capacity for seconds, a query that lacks some
 // shards in time has used slots of all the others for nothing, so it is refused
 // before it is sent. A shard that is late only because its server is slow, with
 // no queue ahead, takes no slot from other queries and is not refused.
-func Decide(plan *Plan, left time.Duration, forecasts []leg.Forecast) Admission {
-	spare := len(forecasts) - LeastParts(plan.LeastCoverage, len(forecasts))
+func DecideAdmission(plan *Plan, left time.Duration, forecasts []leg.Forecast) Admission {
+	spare := len(forecasts) - RequiredShards(plan.MinCoverage, len(forecasts))
 	var admission Admission
 	late := 0
 	for i, f := range forecasts {
-		if f.Silent || f.Wait > 0 && f.Wait > time.Duration(maxWaitShare*float64(left-f.Run)) {
+		if f.Unresponsive || f.QueueTime > 0 && f.QueueTime > time.Duration(maxWaitShare*float64(left-f.ServiceTime)) {
 			admission.markOptional(i, len(forecasts))
 			late++
 		}
 	}
 	admission.Refuse = late > spare
 	for i, f := range forecasts {
-		if late < spare && f.Run > left && !admission.isOptional(i) {
+		if late < spare && f.ServiceTime > left && !admission.isOptional(i) {
 			admission.markOptional(i, len(forecasts))
 			late++
 		}
@@ -67,11 +67,11 @@
 
 // admit decides whether the query's legs are sent.
 func (r *run) admit() bool {
-	if r.work.Target.IsZero() || !r.isMultiShard() {
+	if r.work.SoftDeadline.IsZero() || !r.isMultiShard() {
 		return true
 	}
 	forecasts := r.forecasts()
-	admission := Decide(&r.work.Plan, r.due().Sub(r.started), forecasts)
+	admission := DecideAdmission(&r.work.Plan, r.due().Sub(r.started), forecasts)
 	r.optional = admission.Optional
 	if !admission.Refuse {
 		return true
@@ -92,7 +92,7 @@
 // countSilentShards counts the shards without a result whose services are silent.
 func (r *run) countSilentShards() (n int) {
 	for i, shard := range r.work.Snapshot.Shards {
-		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.work.Class).Silent {
+		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.work.Class).Unresponsive {
 			n++
 		}
 	}
@@ -126,9 +126,9 @@
 	maxRetryShare = 0.30
 )
 
-// ComeBackAfter is the retry delay of a query that was refused at now. It is
+// RetryAfter is the retry delay of a query that was refused at now. It is
 // spread by the request id, so that a burst is not retried as one.
-func ComeBackAfter(plan *Plan, now time.Time) time.Duration {
+func RetryAfter(plan *Plan, now time.Time) time.Duration {
 	jitter := float64(binary.BigEndian.Uint32(plan.Request[12:])) / (1 << 32)
 	share := minRetryShare + jitter*(maxRetryShare-minRetryShare)
 	return time.Duration(share * float64(plan.Deadline.Sub(now)))
@@ -136,5 +136,5 @@
 
 // refuse ends the query before any leg is sent.
 func (r *run) refuse(detail string) {
-	r.query.Refuse(result.Overloaded, detail, ComeBackAfter(&r.work.Plan, r.started))
+	r.query.Refuse(result.Overloaded, detail, RetryAfter(&r.work.Plan, r.started))
 }
--- a/scatter/answer.go
+++ b/scatter/answer.go
@@ -16,8 +16,8 @@
 	Reply *forward.Reply // to a forwarded request; nil otherwise
 }
 
-// Missing is a shard that an answer lacks, and the reason.
-type Missing struct {
+// MissingShard is a shard that an answer lacks, and the reason.
+type MissingShard struct {
 	Shard   snapshot.ShardID
 	Service string
 	Code    result.Code
@@ -26,12 +26,12 @@
 	Reply *forward.Reply
 }
 
-// LegTime is the latency of one leg, as the query's entry host measured it.
-type LegTime struct {
-	Service string
-	Time    time.Duration // from the query's start until its result, or its end
-	Wait    time.Duration // in its home's queue; leg.UnknownWait when not known
-	Missed  bool          // no result came in time
+// LegTiming is the latency of one leg, as the query's entry host measured it.
+type LegTiming struct {
+	Service  string
+	Time     time.Duration // from the query's start until its result, or its end
+	Wait     time.Duration // in its home's queue; leg.UnknownWait when not known
+	TimedOut bool          // no result came in time
 }
 
 // Answer is the one final result of a query. Its coverage is len(Parts) of Total.
@@ -42,14 +42,14 @@
 	Snapshot   *snapshot.Snapshot
 	Total      int
 	Parts      []Part
-	Missing    []Missing
+	Missing    []MissingShard
 	Attempts   int
 	Hedges     int
 	RetryAfter time.Duration
 	// Legs are the latencies of the legs, for the admission of later queries.
-	Legs []LegTime
-	// Stale: the query ended early to be restarted, see Plan.Restartable.
-	Stale bool
+	Legs []LegTiming
+	// NeedsRestart: the query ended early to be restarted, see Plan.Restartable.
+	NeedsRestart bool
 }
 
 func (q *Query) finish() {
@@ -57,12 +57,12 @@
 		return
 	}
 	a := &Answer{
-		Request:  q.plan.Request,
-		Snapshot: q.plan.Snapshot,
-		Total:    len(q.shards),
-		Attempts: q.attempts,
-		Hedges:   q.hedges,
-		Stale:    q.needsRestart,
+		Request:      q.plan.Request,
+		Snapshot:     q.plan.Snapshot,
+		Total:        len(q.shards),
+		Attempts:     q.attempts,
+		Hedges:       q.hedges,
+		NeedsRestart: q.needsRestart,
 	}
 	notRun := true
 	for i := range q.shards {
@@ -80,7 +80,7 @@
 		a.Parts = append(a.Parts, Part{Shard: spec.ID, Body: shard.body, Reply: shard.reply})
 		return false
 	}
-	missing := Missing{Shard: spec.ID, Service: spec.Service, Code: shard.code, Detail: shard.detail, Reply: shard.reply}
+	missing := MissingShard{Shard: spec.ID, Service: spec.Service, Code: shard.code, Detail: shard.detail, Reply: shard.reply}
 	if !shard.settled {
 		// The query ended while this leg was open.
 		missing.Code = result.Cancelled
@@ -121,7 +121,7 @@
 
 // notRunCode is the code of a request that ran nowhere: the first "not run" code
 // of a missing shard.
-func notRunCode(missing []Missing) result.Code {
+func notRunCode(missing []MissingShard) result.Code {
 	for _, m := range missing {
 		if m.Code.NotRun() {
 			return m.Code
@@ -130,7 +130,7 @@
 	return result.BackendsRefused
 }
 
-func anyOf(missing []Missing, code result.Code) bool {
+func anyOf(missing []MissingShard, code result.Code) bool {
 	for _, m := range missing {
 		if m.Code == code {
 			return true
@@ -139,7 +139,7 @@
 	return false
 }
 
-func allOf(missing []Missing, code result.Code) bool {
+func allOf(missing []MissingShard, code result.Code) bool {
 	for _, m := range missing {
 		if m.Code != code {
 			return false
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -30,8 +30,8 @@
 	Restart()
 }
 
-// Work is what every leg of a query has in common.
-type Work struct {
+// QuerySpec is what every leg of a query has in common.
+type QuerySpec struct {
 	Plan
 	Index       string
 	Class       string
@@ -46,13 +46,13 @@
 
 // Coordinator runs queries. It holds no state between them.
 type Coordinator struct {
-	// LostFor is how long the open legs of a query continue after it failed
+	// LostLegGrace is how long the open legs of a query continue after it failed
 	// because legs were lost or refused as suspects of a crash; 0: they are
 	// cancelled at once. A request that crashes a server of each of its
 	// services ends with its first lost legs; if the others were cancelled
 	// before their connections break, their homes would not notice the crashes.
 	// Set it before the first query.
-	LostFor time.Duration
+	LostLegGrace time.Duration
 
 	homes   Homes
 	counter Counter
@@ -70,7 +70,7 @@
 type run struct {
 	c       *Coordinator
 	query   *Query
-	work    Work
+	work    QuerySpec
 	results chan legResult
 	cancels []func() // these slices are indexed by shard
 	sentTo  []ident.HostID
@@ -79,7 +79,7 @@
 	failedOver []bool // legs that were sent to the second home
 	mayHaveRun []bool // of these, legs that may have run at the first home
 	started    time.Time
-	timings    []LegTime
+	timings    []LegTiming
 	ended      atomic.Bool
 }
 
@@ -93,7 +93,7 @@
 
 // Run runs the query and returns its answer, at the latest at the final cut-off
 // or when ctx ends, and cancels the legs that are still open.
-func (c *Coordinator) Run(ctx context.Context, work Work) *Answer {
+func (c *Coordinator) Run(ctx context.Context, work QuerySpec) *Answer {
 	shards := work.Snapshot.Shards
 	r := &run{
 		c:          c,
@@ -104,7 +104,7 @@
 		failedOver: make([]bool, len(shards)),
 		mayHaveRun: make([]bool, len(shards)),
 		started:    c.now(),
-		timings:    make([]LegTime, len(shards)),
+		timings:    make([]LegTiming, len(shards)),
 	}
 	if r.work.Started.IsZero() {
 		r.work.Started = r.started
@@ -128,8 +128,8 @@
 	}
 	r.ended.Store(true)
 	answer := r.query.Answer()
-	if c.LostFor > 0 && mayHaveCrashedServers(answer) {
-		time.AfterFunc(c.LostFor, r.cancelOpen)
+	if c.LostLegGrace > 0 && mayHaveCrashedServers(answer) {
+		time.AfterFunc(c.LostLegGrace, r.cancelOpen)
 	} else {
 		r.cancelOpen()
 	}
@@ -212,7 +212,7 @@
 func (r *run) send(i int, host ident.HostID) {
 	request := r.request(i)
 	if r.mayHaveRun[i] {
-		request.After = r.sentTo[i]
+		request.FailedHome = r.sentTo[i]
 	}
 	r.sentTo[i] = host
 	runner, ok := r.c.homes.Runner(host)
@@ -236,21 +236,21 @@
 func (r *run) request(i int) leg.Request {
 	shard := r.work.Snapshot.Shards[i]
 	return leg.Request{
-		Request:     r.work.Request,
-		Service:     shard.Service,
-		Index:       r.work.Index,
-		Shard:       shard.ID,
-		Snapshot:    r.work.Snapshot.Version,
-		Class:       r.work.Class,
-		Caller:      r.work.Caller,
-		Deadline:    r.legDeadline(),
-		Idempotent:  r.work.Idempotent,
-		Fingerprint: r.work.Fingerprint,
-		Body:        r.work.Body,
-		Due:         r.due(),
-		Optional:    r.optional != nil && r.optional[i],
-		MaxServers:  r.work.MaxServers,
-		Forward:     r.work.Forward,
+		Request:      r.work.Request,
+		Service:      shard.Service,
+		Index:        r.work.Index,
+		Shard:        shard.ID,
+		Snapshot:     r.work.Snapshot.Version,
+		Class:        r.work.Class,
+		Caller:       r.work.Caller,
+		Deadline:     r.legDeadline(),
+		Idempotent:   r.work.Idempotent,
+		Fingerprint:  r.work.Fingerprint,
+		Body:         r.work.Body,
+		SoftDeadline: r.due(),
+		Optional:     r.optional != nil && r.optional[i],
+		MaxServers:   r.work.MaxServers,
+		Forward:      r.work.Forward,
 	}
 }
 
@@ -265,7 +265,7 @@
 
 // due is when a leg's result must arrive for the answer to be in time.
 func (r *run) due() time.Time {
-	if r.work.Target.IsZero() {
+	if r.work.SoftDeadline.IsZero() {
 		return time.Time{}
 	}
 	return TargetCutOff(r.work.Plan)
@@ -273,9 +273,9 @@
 
 func (r *run) handleResult(res legResult) {
 	r.timings[res.shard].Time = r.c.now().Sub(r.started)
-	r.timings[res.shard].Wait = res.result.Wait
-	if len(res.result.Held) > 0 {
-		r.c.onHeld(r.work.Snapshot.Shards[res.shard].Service, r.work.Index, res.result.Held)
+	r.timings[res.shard].Wait = res.result.QueueTime
+	if len(res.result.HeldSnapshots) > 0 {
+		r.c.onHeld(r.work.Snapshot.Shards[res.shard].Service, r.work.Index, res.result.HeldSnapshots)
 	}
 	if r.failOver(res) {
 		return
@@ -285,17 +285,17 @@
 		// second home's "not run" does not hold for the whole leg.
 		res.result.Outcome = result.OutcomeUnknown
 	}
-	r.c.counter.Verdict(r.query.Take(res.result))
+	r.c.counter.Verdict(r.query.AddResult(res.result))
 }
 
 // legTimings completes the timings: a leg without a result took at least until now.
-func (r *run) legTimings() []LegTime {
+func (r *run) legTimings() []LegTiming {
 	elapsed := r.c.now().Sub(r.started)
 	for i := range r.timings {
 		t := &r.timings[i]
 		t.Service = r.work.Snapshot.Shards[i].Service
 		if t.Time == 0 {
-			*t = LegTime{Service: t.Service, Time: elapsed, Wait: leg.UnknownWait, Missed: true}
+			*t = LegTiming{Service: t.Service, Time: elapsed, Wait: leg.UnknownQueueTime, TimedOut: true}
 		}
 	}
 	return r.timings
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -41,13 +41,13 @@
 // not delay the whole answer past it. The reserve covers the request's and the
 // answer's way, which count on the caller's clock, and writing the answer.
 func TargetCutOff(plan Plan) time.Time {
-	rtt := plan.Way
+	rtt := plan.CallerRTT
 	if rtt == 0 {
 		rtt = defaultCallerRTT
 	}
-	total := float64(plan.Target.Sub(plan.Started))
+	total := float64(plan.SoftDeadline.Sub(plan.Started))
 	reserve := rtt + writeReserve + time.Duration(writeReserveShare*total)
-	return plan.Target.Add(-min(reserve, time.Duration(maxReserveShare*total)))
+	return plan.SoftDeadline.Add(-min(reserve, time.Duration(maxReserveShare*total)))
 }
 
 // CutOff is when a query answers with the parts that it has, so that the answer
--- a/scatter/greatest.go
+++ b/scatter/greatest.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Greatest returns the k greatest records of the parts, concatenated in
+// TopK returns the k greatest records of the parts, concatenated in
 // descending order. Parts hold unsorted records of size bytes; a shorter
 // remainder is ignored. Duplicates are kept.
-func Greatest(parts [][]byte, size, k int) []byte {
+func TopK(parts [][]byte, size, k int) []byte {
 	best := make([][]byte, 0, k+1)
 	for _, part := range parts {
 		for ; len(part) >= size; part = part[size:] {
--- a/snapshot/pins.go
+++ b/snapshot/pins.go
@@ -52,8 +52,8 @@
 	return view.pins[index]
 }
 
-// Learn records which versions a backend server of the service reports to hold.
-func (p *Pins) Learn(service, index string, held []Version) {
+// RecordHeld records which versions a backend server of the service reports to hold.
+func (p *Pins) RecordHeld(service, index string, held []Version) {
 	if !p.needsUpdate(service, index, held) {
 		return
 	}
@@ -63,8 +63,8 @@
 	p.rebuild()
 }
 
-// Lacked records that a service's replicas refused a version that they lack.
-func (p *Pins) Lacked(service, index string, version Version) {
+// RecordMissing records that a service's replicas refused a version that they lack.
+func (p *Pins) RecordMissing(service, index string, version Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Lacked(p.now(), service, index, version)
