--- a/admit/class.go
+++ b/admit/class.go
@@ -28,7 +28,7 @@
 const controlInterval = 100 * time.Millisecond
 
 // control updates the estimates and limits when an interval has passed. It is
-// called by Admit and Done instead of by a timer; after an idle time one run
+// called by Admit and Release instead of by a timer; after an idle time one run
 // covers all missed intervals.
 func (c *Controller) control(now time.Time) {
 	if c.nextControl.IsZero() {
