--- a/quarantine/news.go
+++ b/quarantine/evidence.go
@@ -15,12 +15,12 @@
 }
 
 // ActiveEvidence lists the evidence of the verdicts in force, to be sent to other hosts.
-func (b *Registry) ActiveEvidence(now time.Time) []Evidence {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) ActiveEvidence(now time.Time) []Evidence {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var all []Evidence
-	for _, f := range b.verdicts.Keys() {
-		if v, ok := b.verdicts.Peek(f); ok && !now.After(v.until) {
+	for _, f := range r.verdicts.Keys() {
+		if v, ok := r.verdicts.Peek(f); ok && !now.After(v.until) {
 			all = append(all, v.evidence...)
 		}
 	}
@@ -30,22 +30,22 @@
 // Merge adds the verdicts of another host and returns the evidence that was
 // new. Each piece of evidence counts once: a late or repeated one does not
 // revive an expired verdict.
-func (b *Registry) Merge(now time.Time, received []Evidence) []Evidence {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) Merge(now time.Time, received []Evidence) []Evidence {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var fresh []Evidence
 	for _, e := range received {
-		if b.knownEvidence.Contains(e) {
+		if r.knownEvidence.Contains(e) {
 			continue
 		}
-		b.knownEvidence.Add(e, struct{}{})
+		r.knownEvidence.Add(e, struct{}{})
 		fresh = append(fresh, e)
-		v, ok := b.verdicts.Peek(e.Fingerprint)
+		v, ok := r.verdicts.Peek(e.Fingerprint)
 		if !ok {
-			v = verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
+			v = verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineFor))}
 		}
 		v.evidence = append(slices.Clone(v.evidence), e)
-		b.verdicts.Add(e.Fingerprint, v)
+		r.verdicts.Add(e.Fingerprint, v)
 	}
 	return fresh
 }
@@ -60,12 +60,12 @@
 }
 
 // Entries lists the verdicts in force, oldest first.
-func (b *Registry) Entries(now time.Time) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) Entries(now time.Time) []Entry {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var entries []Entry
-	for _, f := range b.verdicts.Keys() {
-		v, ok := b.verdicts.Peek(f)
+	for _, f := range r.verdicts.Keys() {
+		v, ok := r.verdicts.Peek(f)
 		if !ok || now.After(v.until) {
 			continue
 		}
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -2,9 +2,9 @@
 // them, and refuses them on every entry host.
 //
 // A Tracker, at the home of a service, knows which requests run on each backend
-// server and detects crashes. A Book collects the crashes, clears requests that
-// succeed, and holds the verdicts. Hosts share verdicts but not suspicion, since
-// only the home has all the evidence on its service, successes included.
+// server and detects crashes. A Registry collects the crashes, clears requests
+// that succeed, and holds the verdicts. Hosts share verdicts but not suspicion,
+// since only the home has all the evidence on its service, successes included.
 //
 // Both take the time as a parameter, do no I/O, and are safe for concurrent use.
 package quarantine
--- a/quarantine/lostquery.go
+++ b/quarantine/lostquery.go
@@ -35,45 +35,45 @@
 //     rules out a power loss.
 //
 // A request that only ran beside it loses some of its legs, but not all.
-func (b *Registry) RecordLostQuery(now time.Time, f Fingerprint, services []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(services) < minLostServices || b.verdicts.Contains(f) {
+func (r *Registry) RecordLostQuery(now time.Time, f Fingerprint, services []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(services) < minLostServices || r.verdicts.Contains(f) {
 		return
 	}
-	b.lostQueries = slices.DeleteFunc(b.lostQueries, func(q *lostQuery) bool { return now.Sub(q.at) > confirmWindow })
-	if len(b.lostQueries) >= maxLostQueries {
+	r.lostQueries = slices.DeleteFunc(r.lostQueries, func(q *lostQuery) bool { return now.Sub(q.at) > confirmWindow })
+	if len(r.lostQueries) >= maxLostQueries {
 		return
 	}
-	b.lostQueries = append(b.lostQueries, &lostQuery{fingerprint: f, at: now, unconfirmed: slices.Clone(services), lost: len(services)})
+	r.lostQueries = append(r.lostQueries, &lostQuery{fingerprint: f, at: now, unconfirmed: slices.Clone(services), lost: len(services)})
 }
 
 // RecordLegSuccess is called at the entry host of a query for each answered leg. A
 // query that started before the loss of another one confirms nothing. It
 // returns the fingerprint that is quarantined now, if any.
-func (b *Registry) RecordLegSuccess(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for i, q := range b.lostQueries {
+func (r *Registry) RecordLegSuccess(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for i, q := range r.lostQueries {
 		if q.fingerprint == f || started.Before(q.at) || now.Sub(q.at) > confirmWindow {
 			continue
 		}
 		q.unconfirmed = slices.DeleteFunc(q.unconfirmed, func(s string) bool { return s == service })
-		if 2*len(q.unconfirmed) > q.lost || b.suspects[q.fingerprint] == 0 {
+		if 2*len(q.unconfirmed) > q.lost || r.suspects[q.fingerprint] == 0 {
 			continue
 		}
-		b.lostQueries = slices.Delete(b.lostQueries, i, i+1)
-		b.addLostQueryVerdict(now, q)
+		r.lostQueries = slices.Delete(r.lostQueries, i, i+1)
+		r.addLostQueryVerdict(now, q)
 		return q.fingerprint, true
 	}
 	return 0, false
 }
 
-func (b *Registry) addLostQueryVerdict(now time.Time, q *lostQuery) {
+func (r *Registry) addLostQueryVerdict(now time.Time, q *lostQuery) {
 	e := Evidence{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
-	b.knownEvidence.Add(e, struct{}{})
-	until := now.Add(time.Duration(b.cfg.Policy.QuarantineFor))
-	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []Evidence{e}})
+	r.knownEvidence.Add(e, struct{}{})
+	until := now.Add(time.Duration(r.cfg.Policy.QuarantineFor))
+	r.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []Evidence{e}})
 }
 
 // lostQueryServer stands in the evidence for the servers of all the query's legs.
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -6,10 +6,10 @@
 
 // crashesAgainst lists the crashes that count as evidence against the request
 // in the service.
-func (b *Registry) crashesAgainst(now time.Time, f Fingerprint, service string) []*recordedCrash {
+func (r *Registry) crashesAgainst(now time.Time, f Fingerprint, service string) []*recordedCrash {
 	var crashes []*recordedCrash
-	for _, c := range b.crashes {
-		if c.Service == service && now.Sub(c.at) <= evidenceTTL && c.blame(f) > 0 && !b.isMassCrash(c, f) {
+	for _, c := range r.crashes {
+		if c.Service == service && now.Sub(c.at) <= evidenceTTL && c.blame(f) > 0 && !r.isMassCrash(c, f) {
 			crashes = append(crashes, c)
 		}
 	}
@@ -18,8 +18,8 @@
 
 // isMassCrash reports whether another server crashed at about the same time
 // without the request running on it.
-func (b *Registry) isMassCrash(crash *recordedCrash, f Fingerprint) bool {
-	for _, other := range b.crashes {
+func (r *Registry) isMassCrash(crash *recordedCrash, f Fingerprint) bool {
+	for _, other := range r.crashes {
 		apart := other.at.Sub(crash.at).Abs()
 		if other.Name != crash.Name && apart <= massCrashWindow && !other.hasSuspect(f) {
 			return true
@@ -38,23 +38,23 @@
 //   - most of the service's crashes, since a service that crashes by itself
 //     would incriminate any long-running request;
 //   - a clear lead in blame over every other suspect.
-func (b *Registry) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
-	if b.verdicts.Contains(f) {
+func (r *Registry) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
+	if r.verdicts.Contains(f) {
 		return false
 	}
-	crashes := b.crashesAgainst(now, f, service)
-	if !b.enoughEvents(now, crashes, f) || !b.mostCrashes(now, crashes, service) || !hasBlameLead(crashes, f) {
+	crashes := r.crashesAgainst(now, f, service)
+	if !r.enoughEvents(now, crashes, f) || !r.mostCrashes(now, crashes, service) || !hasBlameLead(crashes, f) {
 		return false
 	}
-	b.addVerdict(now, f, crashes)
+	r.addVerdict(now, f, crashes)
 	for _, c := range crashes {
-		b.clearAll(c)
+		r.clearAll(c)
 	}
 	return true
 }
 
 // enoughEvents reports whether there are enough separate events and servers.
-func (b *Registry) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
+func (r *Registry) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
 	events := 0
 	var last time.Time
 	servers := make(map[string]bool)
@@ -65,12 +65,12 @@
 		}
 		last = c.at
 	}
-	required := b.cfg.Policy.QuarantineServers
-	return events >= b.requiredEvents(now, f) && (len(servers) >= required || len(crashes) >= required+extraCrashes)
+	required := r.cfg.Policy.QuarantineServers
+	return events >= r.requiredEvents(now, f) && (len(servers) >= required || len(crashes) >= required+extraCrashes)
 }
 
-func (b *Registry) requiredEvents(now time.Time, f Fingerprint) int {
-	if answered, ok := b.lastSuccess.Peek(f); ok && now.Sub(answered) <= evidenceTTL {
+func (r *Registry) requiredEvents(now time.Time, f Fingerprint) int {
+	if answered, ok := r.lastSuccess.Peek(f); ok && now.Sub(answered) <= evidenceTTL {
 		return minEventsIfProven
 	}
 	return minEvents
@@ -88,9 +88,9 @@
 
 // mostCrashes reports whether the crashes are at least half of the service's
 // since the first of them.
-func (b *Registry) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
+func (r *Registry) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
 	all := 0
-	for _, c := range b.crashes {
+	for _, c := range r.crashes {
 		if c.Service == service && !c.at.Before(crashes[0].at) && now.Sub(c.at) <= evidenceTTL {
 			all++
 		}
@@ -113,12 +113,12 @@
 	return true
 }
 
-func (b *Registry) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
-	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
+func (r *Registry) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
+	v := verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineFor))}
 	for _, c := range crashes {
 		e := Evidence{Fingerprint: f, Server: c.Name, Incarnation: c.Incarnation, InFlight: uint32(len(c.Suspects))}
 		v.evidence = append(v.evidence, e)
-		b.knownEvidence.Add(e, struct{}{})
+		r.knownEvidence.Add(e, struct{}{})
 	}
-	b.verdicts.Add(f, v)
+	r.verdicts.Add(f, v)
 }
