--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -17,10 +17,10 @@
 	return int(math.Ceil(coverage*float64(total) - rounding))
 }
 
-// maxWaitShare is the part of the slack, the time to the target less the run
-// time of the leg, that the forecast queue wait may take. The rest is a margin
-// for services that are slower than their forecast.
-const maxWaitShare = 0.6
+// maxQueueTimeShare is the part of the slack, the time to the soft deadline less
+// the leg's service time, that the forecast queue time may take. The rest is a
+// margin for services that are slower than their forecast.
+const maxQueueTimeShare = 0.6
 
 // Admission is the decision on a query before any of its legs is sent.
 type Admission struct {
@@ -29,8 +29,8 @@
 	Optional []bool
 }
 
-// DecideAdmission compares the forecasts of a query's shards, in their order, with the
-// time that is left for legs to be in time.
+// DecideAdmission compares the forecasts of a query's shards, in their order, with
+// the time that is left for legs to be in time.
 //
 // When services are above their capacity for seconds, a query that lacks some
 // shards in time has used slots of all the others for nothing, so it is refused
@@ -41,7 +41,7 @@
 	var admission Admission
 	late := 0
 	for i, f := range forecasts {
-		if f.Unresponsive || f.QueueTime > 0 && f.QueueTime > time.Duration(maxWaitShare*float64(left-f.ServiceTime)) {
+		if f.Unresponsive || f.QueueTime > 0 && f.QueueTime > time.Duration(maxQueueTimeShare*float64(left-f.ServiceTime)) {
 			admission.markOptional(i, len(forecasts))
 			late++
 		}
@@ -67,11 +67,11 @@
 
 // admit decides whether the query's legs are sent.
 func (r *run) admit() bool {
-	if r.work.SoftDeadline.IsZero() || !r.isMultiShard() {
+	if r.spec.SoftDeadline.IsZero() || !r.isMultiShard() {
 		return true
 	}
 	forecasts := r.forecasts()
-	admission := DecideAdmission(&r.work.Plan, r.due().Sub(r.started), forecasts)
+	admission := DecideAdmission(&r.spec.Plan, r.softCutOff().Sub(r.started), forecasts)
 	r.optional = admission.Optional
 	if !admission.Refuse {
 		return true
@@ -81,18 +81,19 @@
 }
 
 func (r *run) forecasts() []leg.Forecast {
-	shards := r.work.Snapshot.Shards
+	shards := r.spec.Snapshot.Shards
 	forecasts := make([]leg.Forecast, len(shards))
 	for i, shard := range shards {
-		forecasts[i] = r.c.homes.Forecast(shard.Service, r.work.Class)
+		forecasts[i] = r.c.homes.Forecast(shard.Service, r.spec.Class)
 	}
 	return forecasts
 }
 
-// countSilentShards counts the shards without a result whose services are silent.
-func (r *run) countSilentShards() (n int) {
-	for i, shard := range r.work.Snapshot.Shards {
-		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.work.Class).Unresponsive {
+// countUnresponsiveShards counts the shards without a result whose services are
+// unresponsive.
+func (r *run) countUnresponsiveShards() (n int) {
+	for i, shard := range r.spec.Snapshot.Shards {
+		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.spec.Class).Unresponsive {
 			n++
 		}
 	}
@@ -111,7 +112,7 @@
 			continue
 		}
 		if late < maxDescribedShards {
-			fmt.Fprintf(&text, " %s:%s", r.work.Snapshot.Shards[i].Service, forecasts[i])
+			fmt.Fprintf(&text, " %s:%s", r.spec.Snapshot.Shards[i].Service, forecasts[i])
 		}
 		late++
 	}
@@ -136,5 +137,5 @@
 
 // refuse ends the query before any leg is sent.
 func (r *run) refuse(detail string) {
-	r.query.Refuse(result.Overloaded, detail, RetryAfter(&r.work.Plan, r.started))
+	r.query.Refuse(result.Overloaded, detail, RetryAfter(&r.spec.Plan, r.started))
 }
--- a/scatter/answer.go
+++ b/scatter/answer.go
@@ -30,7 +30,7 @@
 type LegTiming struct {
 	Service  string
 	Time     time.Duration // from the query's start until its result, or its end
-	Wait     time.Duration // in its home's queue; leg.UnknownWait when not known
+	Wait     time.Duration // in its home's queue; leg.UnknownQueueTime when not known
 	TimedOut bool          // no result came in time
 }
 
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -19,7 +19,7 @@
 	Of(service string) (first, second ident.HostID)
 	// Runner returns what runs legs at a host; false when the host is unknown.
 	Runner(host ident.HostID) (leg.Runner, bool)
-	// Forecast predicts wait and run time of a leg of the class sent now.
+	// Forecast predicts the queue and service time of a leg of the class sent now.
 	Forecast(service, class string) leg.Forecast
 }
 
@@ -70,7 +70,7 @@
 type run struct {
 	c       *Coordinator
 	query   *Query
-	work    QuerySpec
+	spec    QuerySpec
 	results chan legResult
 	cancels []func() // these slices are indexed by shard
 	sentTo  []ident.HostID
@@ -88,16 +88,16 @@
 	result leg.Result
 }
 
-// homesPerLeg is the greatest number of homes that a leg is sent to.
+// homesPerLeg is the maximum number of homes that a leg is sent to.
 const homesPerLeg = 2
 
 // Run runs the query and returns its answer, at the latest at the final cut-off
 // or when ctx ends, and cancels the legs that are still open.
-func (c *Coordinator) Run(ctx context.Context, work QuerySpec) *Answer {
-	shards := work.Snapshot.Shards
+func (c *Coordinator) Run(ctx context.Context, spec QuerySpec) *Answer {
+	shards := spec.Snapshot.Shards
 	r := &run{
 		c:          c,
-		work:       work,
+		spec:       spec,
 		results:    make(chan legResult, homesPerLeg*len(shards)),
 		cancels:    make([]func(), len(shards)),
 		sentTo:     make([]ident.HostID, len(shards)),
@@ -106,10 +106,10 @@
 		started:    c.now(),
 		timings:    make([]LegTiming, len(shards)),
 	}
-	if r.work.Started.IsZero() {
-		r.work.Started = r.started
+	if r.spec.Started.IsZero() {
+		r.spec.Started = r.started
 	}
-	r.query = NewQuery(r.work.Plan)
+	r.query = NewQuery(r.spec.Plan)
 	timer := time.NewTimer(r.query.NextCutOff().Sub(r.started))
 	defer timer.Stop()
 	if r.admit() {
@@ -158,29 +158,29 @@
 // for a slot would be told that it may have run, and could not book again.
 func (r *run) cutOff() {
 	now := r.c.now()
-	if !now.Before(FinalCutOff(r.work.Plan)) {
+	if !now.Before(FinalCutOff(r.spec.Plan)) {
 		r.cancelOpen()
 		r.drainResults()
 	}
 	r.query.CutOff(now)
-	if r.query.PastTarget() && r.isMultiShard() {
-		r.query.EndIfUnreachable(r.countSilentShards())
+	if r.query.PastSoftCutOff() && r.isMultiShard() {
+		r.query.EndIfUnreachable(r.countUnresponsiveShards())
 	}
 }
 
 // isMultiShard reports whether the query has several shards. Only such a query
 // is refused or ended early because of the state of its services: a request to
 // one service holds no other slots while it waits, and may not be repeatable.
-func (r *run) isMultiShard() bool { return len(r.work.Snapshot.Shards) > 1 }
+func (r *run) isMultiShard() bool { return len(r.spec.Snapshot.Shards) > 1 }
 
-// lateCheckInterval is how often a query past its target checks whether its
-// least coverage can still be reached.
+// lateCheckInterval is how often a query past its soft deadline checks whether
+// its minimum coverage can still be reached.
 const lateCheckInterval = 100 * time.Millisecond
 
 // untilNextCheck is how long until cutOff is due again.
 func (r *run) untilNextCheck() time.Duration {
 	next := r.query.NextCutOff().Sub(r.c.now())
-	if r.query.PastTarget() {
+	if r.query.PastSoftCutOff() {
 		next = min(next, lateCheckInterval)
 	}
 	return next
@@ -203,7 +203,7 @@
 }
 
 func (r *run) sendAll() {
-	for i, shard := range r.work.Snapshot.Shards {
+	for i, shard := range r.spec.Snapshot.Shards {
 		first, _ := r.c.homes.Of(shard.Service)
 		r.send(i, first)
 	}
@@ -234,48 +234,48 @@
 }
 
 func (r *run) request(i int) leg.Request {
-	shard := r.work.Snapshot.Shards[i]
+	shard := r.spec.Snapshot.Shards[i]
 	return leg.Request{
-		Request:      r.work.Request,
+		Request:      r.spec.Request,
 		Service:      shard.Service,
-		Index:        r.work.Index,
+		Index:        r.spec.Index,
 		Shard:        shard.ID,
-		Snapshot:     r.work.Snapshot.Version,
-		Class:        r.work.Class,
-		Caller:       r.work.Caller,
+		Snapshot:     r.spec.Snapshot.Version,
+		Class:        r.spec.Class,
+		Caller:       r.spec.Caller,
 		Deadline:     r.legDeadline(),
-		Idempotent:   r.work.Idempotent,
-		Fingerprint:  r.work.Fingerprint,
-		Body:         r.work.Body,
-		SoftDeadline: r.due(),
+		Idempotent:   r.spec.Idempotent,
+		Fingerprint:  r.spec.Fingerprint,
+		Body:         r.spec.Body,
+		SoftDeadline: r.softCutOff(),
 		Optional:     r.optional != nil && r.optional[i],
-		MaxServers:   r.work.MaxServers,
-		Forward:      r.work.Forward,
+		MaxServers:   r.spec.MaxServers,
+		Forward:      r.spec.Forward,
 	}
 }
 
 // legDeadline is when a leg's result becomes useless: for a forwarded request at
 // its final cut-off, so that no server works on it any longer.
 func (r *run) legDeadline() time.Time {
-	if r.work.Forward == nil {
-		return r.work.Deadline
+	if r.spec.Forward == nil {
+		return r.spec.Deadline
 	}
-	return FinalCutOff(r.work.Plan)
+	return FinalCutOff(r.spec.Plan)
 }
 
-// due is when a leg's result must arrive for the answer to be in time.
-func (r *run) due() time.Time {
-	if r.work.SoftDeadline.IsZero() {
+// softCutOff is when a leg's result must arrive for the answer to be in time.
+func (r *run) softCutOff() time.Time {
+	if r.spec.SoftDeadline.IsZero() {
 		return time.Time{}
 	}
-	return TargetCutOff(r.work.Plan)
+	return SoftCutOff(r.spec.Plan)
 }
 
 func (r *run) handleResult(res legResult) {
 	r.timings[res.shard].Time = r.c.now().Sub(r.started)
 	r.timings[res.shard].Wait = res.result.QueueTime
 	if len(res.result.HeldSnapshots) > 0 {
-		r.c.onHeld(r.work.Snapshot.Shards[res.shard].Service, r.work.Index, res.result.HeldSnapshots)
+		r.c.onHeld(r.spec.Snapshot.Shards[res.shard].Service, r.spec.Index, res.result.HeldSnapshots)
 	}
 	if r.failOver(res) {
 		return
@@ -293,7 +293,7 @@
 	elapsed := r.c.now().Sub(r.started)
 	for i := range r.timings {
 		t := &r.timings[i]
-		t.Service = r.work.Snapshot.Shards[i].Service
+		t.Service = r.spec.Snapshot.Shards[i].Service
 		if t.Time == 0 {
 			*t = LegTiming{Service: t.Service, Time: elapsed, Wait: leg.UnknownQueueTime, TimedOut: true}
 		}
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -29,18 +29,19 @@
 	defaultCallerRTT = 5 * time.Millisecond
 	// writeReserve and writeReserveShare are kept for writing the answer and for
 	// a timer that fires late on a busy host: a fixed time, and a part of the
-	// time to the target.
+	// time to the soft deadline.
 	writeReserve      = 3 * time.Millisecond
 	writeReserveShare = 0.03
-	// maxReserveShare bounds the whole reserve, as a part of the time to the target.
+	// maxReserveShare bounds the whole reserve, as a part of the time to the
+	// soft deadline.
 	maxReserveShare = 0.3
 )
 
-// TargetCutOff is when a query that has its least coverage answers, so that the
-// answer reaches the caller at the target: one straggler among many shards must
-// not delay the whole answer past it. The reserve covers the request's and the
-// answer's way, which count on the caller's clock, and writing the answer.
-func TargetCutOff(plan Plan) time.Time {
+// SoftCutOff is when a query that has its minimum coverage answers, so that the
+// answer reaches the caller by the soft deadline: one straggler among many shards
+// must not delay the whole answer past it. The reserve covers writing the answer
+// and the network round trip, which counts on the caller's clock.
+func SoftCutOff(plan Plan) time.Time {
 	rtt := plan.CallerRTT
 	if rtt == 0 {
 		rtt = defaultCallerRTT
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -13,7 +13,7 @@
 	if !homeLost(res.result.Code) || r.failedOver[res.shard] {
 		return false
 	}
-	if !res.result.Outcome.NotRun() && !r.work.Idempotent {
+	if !res.result.Outcome.NotRun() && !r.spec.Idempotent {
 		return false
 	}
 	other := r.otherHome(res.shard)
@@ -35,7 +35,7 @@
 // otherHome is the home to try when the one that the leg was sent to is lost: the
 // first home if it has changed since the leg was sent, otherwise the second.
 func (r *run) otherHome(shard int) ident.HostID {
-	first, second := r.c.homes.Of(r.work.Snapshot.Shards[shard].Service)
+	first, second := r.c.homes.Of(r.spec.Snapshot.Shards[shard].Service)
 	if first != r.sentTo[shard] {
 		return first
 	}
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -66,16 +66,16 @@
 // Query is the state of one running query. It does no I/O and is not safe for
 // concurrent use; its Coordinator owns it.
 type Query struct {
-	plan         Plan
-	shardIndex   map[snapshot.ShardID]int
-	shards       []shardState
-	open         int // shards without a result
-	answered     int // shards with an accepted result
-	attempts     int
-	hedges       int
-	pastTarget   bool
-	needsRestart bool // a replica lacks the snapshot, and the query may restart
-	answer       *Answer
+	plan           Plan
+	shardIndex     map[snapshot.ShardID]int
+	shards         []shardState
+	open           int // shards without a result
+	answered       int // shards with an accepted result
+	attempts       int
+	hedges         int
+	pastSoftCutOff bool
+	needsRestart   bool // a replica lacks the snapshot, and the query may restart
+	answer         *Answer
 }
 
 // NewQuery makes the state of a query. Its snapshot must be valid.
@@ -95,9 +95,9 @@
 // Answer returns the final answer, or nil while the query runs.
 func (q *Query) Answer() *Answer { return q.answer }
 
-// AddResult adds one leg's result. A reply counts only if it echoes this request and
-// one of its open shards, its body matches its digest, and it was made from the
-// pinned snapshot.
+// AddResult adds one leg's result. A reply counts only if it echoes this request
+// and one of its open shards, its body matches its digest, and it was made from
+// the pinned snapshot.
 func (q *Query) AddResult(r leg.Result) Verdict {
 	i, known := q.shardIndex[r.Shard]
 	if r.Request != q.plan.Request || !known {
@@ -156,27 +156,27 @@
 	}
 }
 
-// CutOff ends the query with the parts that it has if it is time to: at the
-// target if the least coverage is reached, otherwise as soon as it is, and at the
-// final cut-off in any case.
+// CutOff ends the query with the parts that it has if it is time to: at the soft
+// cut-off if the minimum coverage is reached, otherwise as soon as it is, and at
+// the final cut-off in any case.
 func (q *Query) CutOff(now time.Time) {
 	if !now.Before(FinalCutOff(q.plan)) {
 		q.Expire()
 		return
 	}
-	q.pastTarget = !q.plan.SoftDeadline.IsZero() && !now.Before(TargetCutOff(q.plan))
-	if q.pastTarget && q.meetsCoverage(q.answered) {
+	q.pastSoftCutOff = !q.plan.SoftDeadline.IsZero() && !now.Before(SoftCutOff(q.plan))
+	if q.pastSoftCutOff && q.meetsCoverage(q.answered) {
 		q.Expire()
 	}
 }
 
-// PastTarget reports whether the target has passed without an answer.
-func (q *Query) PastTarget() bool { return q.pastTarget && q.answer == nil }
+// PastSoftCutOff reports whether the soft cut-off has passed without an answer.
+func (q *Query) PastSoftCutOff() bool { return q.pastSoftCutOff && q.answer == nil }
 
 // Settled reports whether the shard with the index has its result.
 func (q *Query) Settled(shard int) bool { return q.shards[shard].settled }
 
-// EndIfUnreachable ends the query if its least coverage can't be reached without
+// EndIfUnreachable ends the query if its minimum coverage can't be reached without
 // the given number of open shards.
 func (q *Query) EndIfUnreachable(lost int) {
 	if q.answer == nil && !q.meetsCoverage(q.answered+q.open-lost) {
@@ -188,11 +188,11 @@
 // NextCutOff is when CutOff must be called next.
 func (q *Query) NextCutOff() time.Time {
 	final := FinalCutOff(q.plan)
-	if q.pastTarget || q.plan.SoftDeadline.IsZero() {
+	if q.pastSoftCutOff || q.plan.SoftDeadline.IsZero() {
 		return final
 	}
-	if target := TargetCutOff(q.plan); target.Before(final) {
-		return target
+	if soft := SoftCutOff(q.plan); soft.Before(final) {
+		return soft
 	}
 	return final
 }
@@ -244,7 +244,7 @@
 	q.open = 0
 }
 
-// finishIfDecided ends the query when no shard is open, and as soon as the least
+// finishIfDecided ends the query when no shard is open, and as soon as its minimum
 // coverage can't be reached any more, so that the caller does not wait until its
 // deadline and the open legs are cancelled.
 func (q *Query) finishIfDecided() {
@@ -252,7 +252,7 @@
 	switch {
 	case q.open == 0 || q.needsRestart || !q.meetsCoverage(reachable):
 		q.finish()
-	case q.pastTarget && q.meetsCoverage(q.answered):
+	case q.pastSoftCutOff && q.meetsCoverage(q.answered):
 		q.Expire()
 	}
 }
