--- a/snapshot/pins.go
+++ b/snapshot/pins.go
@@ -59,7 +59,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Held(p.now(), service, index, held)
+	p.tracker.RecordHeld(p.now(), service, index, held)
 	p.rebuild()
 }
 
@@ -67,7 +67,7 @@
 func (p *Pins) RecordMissing(service, index string, version Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Lacked(p.now(), service, index, version)
+	p.tracker.RecordMissing(p.now(), service, index, version)
 	p.rebuild()
 }
 
--- a/snapshot/tracker.go
+++ b/snapshot/tracker.go
@@ -9,9 +9,9 @@
 	// heldTTL is how long a backend server's report that it holds a snapshot
 	// counts. Services in use renew it within seconds.
 	heldTTL = 10 * time.Second
-	// lackedTTL is how long a refusal for a missing snapshot counts. It is short,
+	// missingTTL is how long a refusal for a missing snapshot counts. It is short,
 	// since the replica may be loading the snapshot.
-	lackedTTL = 2 * time.Second
+	missingTTL = 2 * time.Second
 )
 
 // Tracker chooses the snapshot that a new query pins: the newest one of which a
@@ -21,7 +21,7 @@
 type Tracker struct {
 	published map[string][]*Snapshot // by index, newest first
 	held      map[holding]time.Time  // last report
-	lacked    map[holding]time.Time  // last refusal
+	missing   map[holding]time.Time  // last refusal
 	reported  map[reporter]time.Time // last report of any version
 }
 
@@ -37,7 +37,7 @@
 	return &Tracker{
 		published: make(map[string][]*Snapshot),
 		held:      make(map[holding]time.Time),
-		lacked:    make(map[holding]time.Time),
+		missing:   make(map[holding]time.Time),
 		reported:  make(map[reporter]time.Time),
 	}
 }
@@ -59,21 +59,21 @@
 	return invalid
 }
 
-// Held records which versions of an index a backend server of the service holds.
-func (t *Tracker) Held(now time.Time, service, index string, versions []Version) {
+// RecordHeld records which versions of an index a backend server of the service holds.
+func (t *Tracker) RecordHeld(now time.Time, service, index string, versions []Version) {
 	from := reporter{index, service}
 	t.reported[from] = now
 	for _, version := range versions {
 		h := holding{from, version}
 		t.held[h] = now
-		delete(t.lacked, h)
+		delete(t.missing, h)
 	}
 }
 
-// Lacked records that the replicas of a service refused a version that they lack.
-func (t *Tracker) Lacked(now time.Time, service, index string, version Version) {
+// RecordMissing records that the replicas of a service refused a version that they lack.
+func (t *Tracker) RecordMissing(now time.Time, service, index string, version Version) {
 	h := holding{reporter{index, service}, version}
-	t.lacked[h] = now
+	t.missing[h] = now
 	delete(t.held, h)
 }
 
@@ -82,13 +82,13 @@
 // fewest shards.
 func (t *Tracker) Pin(now time.Time, index string) *Snapshot {
 	var best *Snapshot
-	fewestLacking := 0
+	fewestMissing := 0
 	for _, s := range t.published[index] {
-		lackingShards := t.lackingShards(now, s)
-		if best == nil || lackingShards < fewestLacking {
-			best, fewestLacking = s, lackingShards
+		missingShards := t.missingShards(now, s)
+		if best == nil || missingShards < fewestMissing {
+			best, fewestMissing = s, missingShards
 		}
-		if fewestLacking == 0 {
+		if fewestMissing == 0 {
 			break
 		}
 	}
@@ -105,8 +105,8 @@
 	return names
 }
 
-// lackingShards counts the shards that no replica is known to hold.
-func (t *Tracker) lackingShards(now time.Time, s *Snapshot) int {
+// missingShards counts the shards that no replica is known to hold.
+func (t *Tracker) missingShards(now time.Time, s *Snapshot) int {
 	n := 0
 	for _, shard := range s.Shards {
 		if !t.isHeldBy(now, shard.Service, s) {
@@ -125,7 +125,7 @@
 	if isRecent(now, t.held[h], heldTTL) {
 		return true
 	}
-	if isRecent(now, t.lacked[h], lackedTTL) {
+	if isRecent(now, t.missing[h], missingTTL) {
 		return false
 	}
 	return !isRecent(now, t.reported[from], heldTTL)
@@ -142,9 +142,9 @@
 			delete(t.held, h)
 		}
 	}
-	for h, at := range t.lacked {
-		if !isRecent(now, at, lackedTTL) {
-			delete(t.lacked, h)
+	for h, at := range t.missing {
+		if !isRecent(now, at, missingTTL) {
+			delete(t.missing, h)
 		}
 	}
 	for r, at := range t.reported {
