--- a/retry/budget.go
+++ b/retry/budget.go
@@ -29,11 +29,12 @@
 	return Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// NewPartialBudget makes a budget that starts with a part of its burst, 0 to 1, such
-// as that of a host that may have spent its burst just before a restart.
-func NewPartialBudget(ratio, burst, part float64) Budget {
+// NewPartialBudget makes a budget that starts with a part of its burst, fillRatio
+// from 0 to 1, such as that of a host that may have spent its burst just before a
+// restart.
+func NewPartialBudget(ratio, burst, fillRatio float64) Budget {
 	b := NewBudget(ratio, burst)
-	b.tokens *= part
+	b.tokens *= fillRatio
 	return b
 }
 
@@ -48,12 +49,12 @@
 // Earn adds the tokens of one first attempt.
 func (b *Budget) Earn() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
-// SetRefillRate sets the refill by time, in attempts a second. It lets a service with
-// few requests use an allowance that is defined per time span: in any span, the
-// bucket gives at most its burst and what is refilled meanwhile.
+// SetRefillRate sets the refill by time, in attempts a second. It lets a service
+// with few requests use an allowance that is defined per time span: in any span,
+// the bucket gives at most its burst and what is refilled meanwhile.
 func (b *Budget) SetRefillRate(perSecond float64) { b.perSecond = perSecond }
 
-// Refill refills the tokens for the time since the last call.
+// Refill adds the tokens for the time since the last call.
 func (b *Budget) Refill(now time.Time) {
 	if !b.refilledAt.IsZero() && now.After(b.refilledAt) {
 		b.tokens = min(b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds(), b.burst)
