--- a/route/route.go
+++ b/route/route.go
@@ -54,7 +54,8 @@
 	// MaxServers bounds the backend servers that one request, or one shard's
 	// part of it, may be sent to; 0: no bound.
 	MaxServers int
-	// WeightedServices are the services of a plain route, of which one gets each request.
+	// WeightedServices are the services of a plain route, of which one gets each
+	// request.
 	WeightedServices []WeightedService
 	// Shards are the services of a fan-out route, which all get each request;
 	// empty: a plain route.
@@ -82,8 +83,8 @@
 		return r.Shards
 	}
 	names := make([]string, len(r.WeightedServices))
-	for i, share := range r.WeightedServices {
-		names[i] = share.Service
+	for i, weighted := range r.WeightedServices {
+		names[i] = weighted.Service
 	}
 	return names
 }
@@ -123,11 +124,11 @@
 		return errors.New("timeout or target latency is negative")
 	}
 	total := 0.0
-	for _, share := range r.WeightedServices {
-		if share.Weight < 0 {
-			return errors.Errorf("the weight of service %s is negative", share.Service)
+	for _, weighted := range r.WeightedServices {
+		if weighted.Weight < 0 {
+			return errors.Errorf("the weight of service %s is negative", weighted.Service)
 		}
-		total += share.Weight
+		total += weighted.Weight
 	}
 	if len(r.WeightedServices) > 0 && total <= 0 {
 		return errors.New("the weights add up to zero")
--- a/route/table.go
+++ b/route/table.go
@@ -80,32 +80,32 @@
 // about one request; random draws would miss it by several percent over a few
 // hundred requests.
 func (e *entry) nextService() string {
-	shares := e.route.WeightedServices
-	if len(shares) <= 1 {
-		if len(shares) == 0 {
+	services := e.route.WeightedServices
+	if len(services) <= 1 {
+		if len(services) == 0 {
 			return ""
 		}
-		return shares[0].Service
+		return services[0].Service
 	}
 	total := 0.0
-	for _, s := range shares {
+	for _, s := range services {
 		total += s.Weight
 	}
 	_, point := math.Modf(float64(e.requests.Add(1)) * math.Phi)
 	point *= total
-	for _, s := range shares {
+	for _, s := range services {
 		if point < s.Weight {
 			return s.Service
 		}
 		point -= s.Weight
 	}
-	return heaviest(shares)
+	return heaviest(services)
 }
 
 // heaviest is the fallback for rounding errors; it never has weight 0.
-func heaviest(shares []WeightedService) string {
-	best := shares[0]
-	for _, s := range shares[1:] {
+func heaviest(services []WeightedService) string {
+	best := services[0]
+	for _, s := range services[1:] {
 		if s.Weight > best.Weight {
 			best = s
 		}
