--- a/admit/backlog.go
+++ b/admit/backlog.go
@@ -99,13 +99,9 @@
 	return min(bound, time.Duration(maxBacklogShare*float64(left)))
 }
 
-// checkBacklog refuses a request that would wait too long behind requests with
-// earlier deadlines. Without it, under saturation, servers would work on
-// requests whose deadlines have passed, and goodput would collapse.
-//
-// Only deadlines up to the request's own count, since the homes' queues are
-// ordered by deadline. The request itself does not count: where requests take
-// seconds, it would be a large part of the limit.
+// checkBacklog refuses a request that would wait too long behind those with
+// earlier deadlines, which go first in the homes' queues. Without it, goodput
+// collapses under saturation: servers work on requests that are already late.
 func (c *Controller) checkBacklog(now time.Time, cl *class, requester *caller, deadline time.Time, left time.Duration) *result.Error {
 	ahead := seconds(float64(cl.deadlines.countUpTo(deadline)) / cl.capacity)
 	bound := cl.maxBacklog(left)
--- a/admit/fairness.go
+++ b/admit/fairness.go
@@ -103,13 +103,10 @@
 // demand is the caller's requests a second for each unit of its weight.
 func (c *caller) demand(now time.Time) float64 { return c.arrivals.perSecond(now) / c.weight }
 
-// updateRateLimit finds the light callers' demand and adjusts the rate limit
-// of flooding callers. admitted is the class's rate.
-//
-// When one caller sends a multiple of its share, its excess fills the queues
-// and raises every other caller's tail latency. The limit falls while pressure
-// is high and rises otherwise, so that a flood may use idle capacity; it never
-// falls below an equal share of what is admitted.
+// updateRateLimit adjusts the rate limit of flooding callers, which would raise
+// every other caller's tail latency. The limit falls while pressure is high and
+// rises otherwise, so that a flood may use idle capacity, and is never less than an
+// equal share of the class's admitted rate.
 func (cs *callers) updateRateLimit(now time.Time, admitted, pressure float64) {
 	weight, maxDemand := cs.sortByDemand(now)
 	if weight == 0 {
--- a/admit/leglatency.go
+++ b/admit/leglatency.go
@@ -118,9 +118,7 @@
 
 // checkLegs refuses a request whose slowest services would not answer by its
 // deadline. When a service is slow or lost, such a request would use a slot of
-// every service and still give its caller nothing. Histograms expire within
-// two windows and one request of a class is always admitted, so a service that
-// recovers is noticed.
+// every service and still get no answer.
 func (c *Controller) checkLegs(now time.Time, cl *class, left time.Duration, request Request) *result.Error {
 	bound := float64(len(request.Services)-request.MinLegs) + maxExpectedMissing
 	bucket := latencyBucket(left)
