--- a/quarantine/lostquery.go
+++ b/quarantine/lostquery.go
@@ -24,17 +24,10 @@
 	lost        int      // number of services that were lost
 }
 
-// RecordLostQuery is called at the entry host of a query when every leg was lost with
-// its server. A request that crashes one server of each of its services at once
-// would crash the others too before a second event can be recorded, so this
-// loss is evidence by itself if
-//
-//   - this host has recorded a crash with the request among the suspects, since
-//     legs are also lost with connections that go silent;
-//   - half of the services answer other requests within confirmWindow, which
-//     rules out a power loss.
-//
-// A request that only ran beside it loses some of its legs, but not all.
+// RecordLostQuery is called at the entry host of a query when every leg was lost
+// with its server. If the request crashed one server of each of its services,
+// waiting for a second event would cost the others too. RecordLegSuccess decides
+// whether the loss is evidence.
 func (r *Registry) RecordLostQuery(now time.Time, f Fingerprint, services []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,9 +41,10 @@
 	r.lostQueries = append(r.lostQueries, &lostQuery{fingerprint: f, at: now, unconfirmed: slices.Clone(services), lost: len(services)})
 }
 
-// RecordLegSuccess is called at the entry host of a query for each answered leg. A
-// query that started before the loss of another one confirms nothing. It
-// returns the fingerprint that is quarantined now, if any.
+// RecordLegSuccess is called at the entry host of a query for each answered leg. It
+// returns the fingerprint of the lost query that is quarantined now, if any: half
+// of its services have answered queries that started after the loss, which rules
+// out a power loss, and this host has recorded a crash with it as a suspect.
 func (r *Registry) RecordLegSuccess(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -134,11 +134,9 @@
 	return refusal
 }
 
-// IsSuspected reports whether the request may have caused a crash in the service
-// or has a verdict. A leg that was lost with its server must not be retried
-// then. The verdict is checked as well, since it clears the crashes that it
-// explains: the leg that was lost with the last of them would be retried and
-// crash one more server.
+// IsSuspected reports whether the request may have caused a crash in the service,
+// or is refused by a verdict, which clears the crashes that it explains. A leg
+// that was lost with its server must not be retried then: it could crash one more.
 func (r *Registry) IsSuspected(now time.Time, f Fingerprint, service string) bool {
 	if r.Check(now, f) != nil {
 		return true
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -101,13 +101,6 @@
 
 // AttemptEnded records how an attempt ended, and returns the crash or recovery that
 // follows from it. incarnation is the one that a reply named; zero: none.
-//
-// A new incarnation proves a crash. Several connections that break at once, or
-// one that breaks and can't be replaced, are presumed to be one, so that the
-// request is not sent to the next server before the restart. That is retracted
-// when the same incarnation answers an attempt that was sent later; answers to
-// earlier ones may have been sent before the crash. A single break counts for
-// nothing, since connections also break while their server runs.
 func (t *Tracker) AttemptEnded(now time.Time, id ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,6 +164,8 @@
 	return false
 }
 
+// handleReply retracts a presumed crash if the attempt was sent after it. Answers to
+// earlier attempts may have been sent before the crash.
 func (s *trackedServer) handleReply(now time.Time, a *attempt, incarnation uint64) Event {
 	if incarnation != 0 && incarnation != s.server.Incarnation {
 		return s.handleIncarnation(now, incarnation)
@@ -185,6 +180,8 @@
 	return Event{Recovered: &server}
 }
 
+// handleBreak presumes a crash when several connections break at once, so that
+// the request is not sent to the next server before the restart proves it.
 func (s *trackedServer) handleBreak(now time.Time, a *attempt) Event {
 	s.broken = appendBounded(s.broken, a)
 	simultaneous := 0
@@ -199,6 +196,7 @@
 	return s.markCrashed(now)
 }
 
+// handleUnreachable presumes a crash if a connection has broken before.
 func (s *trackedServer) handleUnreachable(now time.Time) Event {
 	s.expire(now)
 	if len(s.broken) == 0 {
@@ -207,6 +205,7 @@
 	return s.markCrashed(now)
 }
 
+// handleIncarnation reports a crash if the server has been restarted.
 func (s *trackedServer) handleIncarnation(now time.Time, incarnation uint64) Event {
 	if incarnation == s.server.Incarnation {
 		return Event{}
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -28,16 +28,9 @@
 	return false
 }
 
-// quarantineIfProven adds a verdict if the evidence suffices, and reports
-// whether it did. It must stop a request that its caller sends again and again
-// and that crashes each server that runs it, without refusing requests that
-// only ran beside it. A verdict needs
-//
-//   - separate events on as many servers as the policy requires, since a power
-//     loss is one event;
-//   - most of the service's crashes, since a service that crashes by itself
-//     would incriminate any long-running request;
-//   - a clear lead in blame over every other suspect.
+// quarantineIfProven adds a verdict if the evidence suffices, and reports whether
+// it did. It must stop a request that crashes each server that runs it, but not
+// the requests that only ran beside it.
 func (r *Registry) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
 	if r.verdicts.Contains(f) {
 		return false
@@ -53,7 +46,8 @@
 	return true
 }
 
-// enoughEvents reports whether there are enough separate events and servers.
+// enoughEvents reports whether there are enough separate events and servers: the
+// crashes of a power loss are one event.
 func (r *Registry) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
 	events := 0
 	var last time.Time
@@ -86,8 +80,9 @@
 	return time.Time{}
 }
 
-// mostCrashes reports whether the crashes are at least half of the service's
-// since the first of them.
+// mostCrashes reports whether the crashes are at least half of the service's since
+// the first of them. Otherwise, any long-running request would be a suspect in a
+// service that crashes by itself.
 func (r *Registry) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
 	all := 0
 	for _, c := range r.crashes {
@@ -98,6 +93,8 @@
 	return 2*len(crashes) >= all
 }
 
+// hasBlameLead reports whether the request has clearly more blame than any other
+// suspect.
 func hasBlameLead(crashes []*recordedCrash, f Fingerprint) bool {
 	scores := make(map[Fingerprint]float64)
 	for _, c := range crashes {
