--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -29,13 +29,10 @@
 	Optional []bool
 }
 
-// DecideAdmission compares the forecasts of a query's shards, in their order, with
-// the time that is left for legs to be in time.
-//
-// When services are above their capacity for seconds, a query that lacks some
-// shards in time has used slots of all the others for nothing, so it is refused
-// before it is sent. A shard that is late only because its server is slow, with
-// no queue ahead, takes no slot from other queries and is not refused.
+// DecideAdmission refuses a query that would lack too many shards in time, by the
+// forecasts of its shards in their order. While services are overloaded, it would
+// use slots of all the others for nothing. A service that is slow but has no queue
+// is no reason to refuse, since the query takes no slot from others there.
 func DecideAdmission(plan *Plan, left time.Duration, forecasts []leg.Forecast) Admission {
 	spare := len(forecasts) - RequiredShards(plan.MinCoverage, len(forecasts))
 	var admission Admission
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -47,10 +47,8 @@
 // Coordinator runs queries. It holds no state between them.
 type Coordinator struct {
 	// LostLegGrace is how long the open legs of a query continue after it failed
-	// because legs were lost or refused as suspects of a crash; 0: they are
-	// cancelled at once. A request that crashes a server of each of its
-	// services ends with its first lost legs; if the others were cancelled
-	// before their connections break, their homes would not notice the crashes.
+	// because it may have crashed servers; 0: they are cancelled at once. It lets
+	// their homes notice crashes whose connections break later than the first.
 	// Set it before the first query.
 	LostLegGrace time.Duration
 
