--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -4,121 +4,118 @@
 	"time"
 )
 
-// against lists the deaths that speak against the request in the service.
-func (b *Registry) against(now time.Time, f Fingerprint, service string) []*recorded {
-	var deaths []*recorded
-	for _, d := range b.deaths {
-		if d.Service == service && now.Sub(d.at) <= evidenceFor && d.share(f) > 0 && !b.massDeath(d, f) {
-			deaths = append(deaths, d)
+// crashesAgainst lists the crashes that count as evidence against the request
+// in the service.
+func (r *Registry) crashesAgainst(now time.Time, f Fingerprint, service string) []*recordedCrash {
+	var crashes []*recordedCrash
+	for _, c := range r.crashes {
+		if c.Service == service && now.Sub(c.at) <= evidenceTTL && c.blame(f) > 0 && !r.isMassCrash(c, f) {
+			crashes = append(crashes, c)
 		}
 	}
-	return deaths
+	return crashes
 }
 
-// massDeath reports whether another server died at about the same time
+// isMassCrash reports whether another server crashed at about the same time
 // without the request running on it.
-func (b *Registry) massDeath(death *recorded, f Fingerprint) bool {
-	for _, other := range b.deaths {
-		apart := other.at.Sub(death.at).Abs()
-		if other.Name != death.Name && apart <= massDeathFor && !other.names(f) {
+func (r *Registry) isMassCrash(crash *recordedCrash, f Fingerprint) bool {
+	for _, other := range r.crashes {
+		apart := other.at.Sub(crash.at).Abs()
+		if other.Name != crash.Name && apart <= massCrashWindow && !other.hasSuspect(f) {
 			return true
 		}
 	}
 	return false
 }
 
-// condemn gives the verdict if the evidence suffices.
-//
-// Load: a request that crashes each server that runs it, sent again and again
-// by its caller, among many that do not. Harm prevented: it takes the servers
-// of a service one after the other, everything that runs beside it is lost
-// too, or an innocent request that ran beside it is refused. Reasons for the
-// limits: as many different servers as the policy says, in at least two
-// separate events, since one event may be a loss of power, and three for a
-// request that was answered lately; no success since;
-// most of the service's deaths, since a service that crashes by itself would
-// condemn whatever runs long; and one and a half times the blame of any other
-// suspect, which a request that ran beside the poison never has.
-func (b *Registry) condemn(now time.Time, f Fingerprint, service string) bool {
-	if b.verdicts.Contains(f) {
+// quarantineIfProven adds a verdict if the evidence suffices, and reports whether
+// it did. It must stop a request that crashes each server that runs it, but not
+// the requests that only ran beside it.
+func (r *Registry) quarantineIfProven(now time.Time, f Fingerprint, service string) bool {
+	if r.verdicts.Contains(f) {
 		return false
 	}
-	deaths := b.against(now, f, service)
-	if !b.enough(now, deaths, f) || !b.mostOf(now, deaths, service) || !leads(deaths, f) {
+	crashes := r.crashesAgainst(now, f, service)
+	if !r.enoughEvents(now, crashes, f) || !r.mostCrashes(now, crashes, service) || !hasBlameLead(crashes, f) {
 		return false
 	}
-	b.record(now, f, deaths)
-	for _, d := range deaths {
-		b.clearAll(d)
+	r.addVerdict(now, f, crashes)
+	for _, c := range crashes {
+		r.clearAll(c)
 	}
 	return true
 }
 
-// enough counts events and servers.
-func (b *Registry) enough(now time.Time, deaths []*recorded, f Fingerprint) bool {
+// enoughEvents reports whether there are enough separate events and servers: the
+// crashes of a power loss are one event.
+func (r *Registry) enoughEvents(now time.Time, crashes []*recordedCrash, f Fingerprint) bool {
 	events := 0
 	var last time.Time
 	servers := make(map[string]bool)
-	for _, d := range deaths {
-		servers[d.Name] = true
-		if events == 0 || d.startOf(f).Sub(last) >= sameEventFor {
+	for _, c := range crashes {
+		servers[c.Name] = true
+		if events == 0 || c.startOf(f).Sub(last) >= sameEventWindow {
 			events++
 		}
-		last = d.at
+		last = c.at
 	}
-	wanted := b.cfg.Policy.QuarantineServers
-	return events >= b.wantedEvents(now, f) && (len(servers) >= wanted || len(deaths) >= wanted+extraDeaths)
+	required := r.cfg.Policy.QuarantineServers
+	return events >= r.requiredEvents(now, f) && (len(servers) >= required || len(crashes) >= required+extraCrashes)
 }
 
-func (b *Registry) wantedEvents(now time.Time, f Fingerprint) int {
-	if answered, ok := b.proven.Peek(f); ok && now.Sub(answered) <= evidenceFor {
-		return provenEvents
+func (r *Registry) requiredEvents(now time.Time, f Fingerprint) int {
+	if answered, ok := r.lastSuccess.Peek(f); ok && now.Sub(answered) <= evidenceTTL {
+		return minEventsIfProven
 	}
-	return leastEvents
+	return minEvents
 }
 
-func (d *recorded) startOf(f Fingerprint) time.Time {
-	for _, blame := range d.Suspects {
-		if blame.Fingerprint == f {
-			return blame.Started
+// startOf is when the request's latest attempt on the crashed server started.
+func (c *recordedCrash) startOf(f Fingerprint) time.Time {
+	for _, suspect := range c.Suspects {
+		if suspect.Fingerprint == f {
+			return suspect.Started
 		}
 	}
 	return time.Time{}
 }
 
-// mostOf: at least half of the service's deaths since the first one that
-// speaks against the request do so.
-func (b *Registry) mostOf(now time.Time, deaths []*recorded, service string) bool {
+// mostCrashes reports whether the crashes are at least half of the service's since
+// the first of them. Otherwise, any long-running request would be a suspect in a
+// service that crashes by itself.
+func (r *Registry) mostCrashes(now time.Time, crashes []*recordedCrash, service string) bool {
 	all := 0
-	for _, d := range b.deaths {
-		if d.Service == service && !d.at.Before(deaths[0].at) && now.Sub(d.at) <= evidenceFor {
+	for _, c := range r.crashes {
+		if c.Service == service && !c.at.Before(crashes[0].at) && now.Sub(c.at) <= evidenceTTL {
 			all++
 		}
 	}
-	return 2*len(deaths) >= all
+	return 2*len(crashes) >= all
 }
 
-func leads(deaths []*recorded, f Fingerprint) bool {
+// hasBlameLead reports whether the request has clearly more blame than any other
+// suspect.
+func hasBlameLead(crashes []*recordedCrash, f Fingerprint) bool {
 	scores := make(map[Fingerprint]float64)
-	for _, d := range deaths {
-		for _, blame := range d.Suspects {
-			scores[blame.Fingerprint] += d.share(blame.Fingerprint)
+	for _, c := range crashes {
+		for _, suspect := range c.Suspects {
+			scores[suspect.Fingerprint] += c.blame(suspect.Fingerprint)
 		}
 	}
 	for other, score := range scores {
-		if other != f && scores[f] < clearLead*score {
+		if other != f && scores[f] < minBlameLead*score {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *Registry) record(now time.Time, f Fingerprint, deaths []*recorded) {
-	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
-	for _, d := range deaths {
-		news := Evidence{Fingerprint: f, Server: d.Name, Incarnation: d.Incarnation, InFlight: uint32(len(d.Suspects))}
-		v.evidence = append(v.evidence, news)
-		b.absorbed.Add(news, struct{}{})
+func (r *Registry) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
+	v := verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineFor))}
+	for _, c := range crashes {
+		e := Evidence{Fingerprint: f, Server: c.Name, Incarnation: c.Incarnation, InFlight: uint32(len(c.Suspects))}
+		v.evidence = append(v.evidence, e)
+		r.knownEvidence.Add(e, struct{}{})
 	}
-	b.verdicts.Add(f, v)
+	r.verdicts.Add(f, v)
 }
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -12,18 +12,18 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Homes tells where legs run. Both answers may be the local host.
+// Homes finds the home of a service, which runs its legs. It may be the local host.
 type Homes interface {
-	// Of returns the home of the service and the host that takes over when
-	// the home is lost; second is empty when there is none.
+	// Of returns the home of the service and the host that takes over when the
+	// home is lost; empty when there is none.
 	Of(service string) (first, second ident.HostID)
-	// Runner returns the way to a host; false when it isn't known any more.
+	// Runner returns what runs legs at a host; false when the host is unknown.
 	Runner(host ident.HostID) (leg.Runner, bool)
-	// Forecast says how a leg of the class sent now would fare at the service.
+	// Forecast predicts the queue and service time of a leg of the class sent now.
 	Forecast(service, class string) leg.Forecast
 }
 
-// Counter counts what became of the legs' results; the observe slice gives one.
+// Counter counts the results of legs for metrics.
 type Counter interface {
 	Verdict(v Verdict)
 	Failover()
@@ -40,79 +40,74 @@
 	Body        []byte
 	// MaxServers bounds the backend servers that may run a leg; 0: no bound.
 	MaxServers int
-	// Forward is set for a request that is passed on as its caller sent it.
+	// Forward is set for a request that is forwarded as its caller sent it.
 	Forward *forward.Request
 }
 
 // Coordinator runs queries. It holds no state between them.
 type Coordinator struct {
-	// LostLegGrace is how long the open legs of a query go on that failed for legs that were
-	// lost, or refused as those of a request that may crash servers; 0: they are cancelled
-	// at once. Set it before the first query.
-	//
-	// Failure: a request crashes a server of each of its services. The first legs that
-	// are lost or refused end the query, the others are cancelled a moment before their
-	// connections break, and their homes never ask whether these servers live. It shows
-	// as a request that is sent again and crashes two more servers there before the
-	// restart tells. The guard holds because the break arrives while the attempt is open.
+	// LostLegGrace is how long the open legs of a query continue after it failed
+	// because it may have crashed servers; 0: they are cancelled at once. It lets
+	// their homes notice crashes whose connections break later than the first.
+	// Set it before the first query.
 	LostLegGrace time.Duration
 
 	homes   Homes
 	counter Counter
 	now     func() time.Time
-	learn   func(service, index string, held []snapshot.Version)
+	onHeld  func(service, index string, held []snapshot.Version)
 }
 
-// NewCoordinator makes a coordinator. learn is told which snapshots a
-// service's backend servers say that they hold.
-func NewCoordinator(homes Homes, counter Counter, now func() time.Time, learn func(service, index string, held []snapshot.Version)) *Coordinator {
-	return &Coordinator{homes: homes, counter: counter, now: now, learn: learn}
+// NewCoordinator makes a coordinator. onHeld is called with the snapshots that a
+// service's backend servers report to hold.
+func NewCoordinator(homes Homes, counter Counter, now func() time.Time, onHeld func(service, index string, held []snapshot.Version)) *Coordinator {
+	return &Coordinator{homes: homes, counter: counter, now: now, onHeld: onHeld}
 }
 
-// run is one query under way: its state and its legs' cancel functions.
+// run is one running query with its legs.
 type run struct {
 	c       *Coordinator
 	query   *Query
-	work    QuerySpec
-	results chan arrival
-	cancels []func()
+	spec    QuerySpec
+	results chan legResult
+	cancels []func() // these slices are indexed by shard
 	sentTo  []ident.HostID
-	// optional shards are those that the query does without, see admission.go.
-	optional []bool
-	moved    []bool // legs that went to the second home
-	maybe    []bool // of these, legs that may have run at the first
-	started  time.Time
-	times    []LegTiming
-	ended    atomic.Bool
+	// optional marks the shards that the query can do without.
+	optional   []bool
+	failedOver []bool // legs that were sent to the second home
+	mayHaveRun []bool // of these, legs that may have run at the first home
+	started    time.Time
+	timings    []LegTiming
+	ended      atomic.Bool
 }
 
-type arrival struct {
-	position int
-	result   leg.Result
+type legResult struct {
+	shard  int // index into the shards of the snapshot
+	result leg.Result
 }
 
-// homesPerLeg is how many homes a leg is sent to at most.
+// homesPerLeg is the maximum number of homes that a leg is sent to.
 const homesPerLeg = 2
 
-// Run runs the query and returns its one answer, at the latest at the cut-off
-// time or when ctx ends. Legs that are still under way are cancelled then.
-func (c *Coordinator) Run(ctx context.Context, work QuerySpec) *Answer {
-	shards := work.Snapshot.Shards
+// Run runs the query and returns its answer, at the latest at the final cut-off
+// or when ctx ends, and cancels the legs that are still open.
+func (c *Coordinator) Run(ctx context.Context, spec QuerySpec) *Answer {
+	shards := spec.Snapshot.Shards
 	r := &run{
-		c:       c,
-		work:    work,
-		results: make(chan arrival, homesPerLeg*len(shards)),
-		cancels: make([]func(), len(shards)),
-		sentTo:  make([]ident.HostID, len(shards)),
-		moved:   make([]bool, len(shards)),
-		maybe:   make([]bool, len(shards)),
-		started: c.now(),
-		times:   make([]LegTiming, len(shards)),
+		c:          c,
+		spec:       spec,
+		results:    make(chan legResult, homesPerLeg*len(shards)),
+		cancels:    make([]func(), len(shards)),
+		sentTo:     make([]ident.HostID, len(shards)),
+		failedOver: make([]bool, len(shards)),
+		mayHaveRun: make([]bool, len(shards)),
+		started:    c.now(),
+		timings:    make([]LegTiming, len(shards)),
 	}
-	if r.work.Started.IsZero() {
-		r.work.Started = r.started
+	if r.spec.Started.IsZero() {
+		r.spec.Started = r.started
 	}
-	r.query = NewQuery(r.work.Plan)
+	r.query = NewQuery(r.spec.Plan)
 	timer := time.NewTimer(r.query.NextCutOff().Sub(r.started))
 	defer timer.Stop()
 	if r.admit() {
@@ -120,29 +115,29 @@
 	}
 	for r.query.Answer() == nil {
 		select {
-		case a := <-r.results:
-			r.take(a)
+		case res := <-r.results:
+			r.handleResult(res)
 		case <-timer.C:
 			r.cutOff()
-			timer.Reset(r.nextLook())
+			timer.Reset(r.untilNextCheck())
 		case <-ctx.Done():
-			r.query.Abandon()
+			r.query.Cancel()
 		}
 	}
 	r.ended.Store(true)
 	answer := r.query.Answer()
-	if c.LostLegGrace > 0 && mayCrash(answer) {
-		time.AfterFunc(c.LostLegGrace, r.cancelRest)
+	if c.LostLegGrace > 0 && mayHaveCrashedServers(answer) {
+		time.AfterFunc(c.LostLegGrace, r.cancelOpen)
 	} else {
-		r.cancelRest()
+		r.cancelOpen()
 	}
-	answer.Legs = r.legTimes()
+	answer.Legs = r.legTimings()
 	return answer
 }
 
-// mayCrash reports whether the query has no part of an answer, and legs that were lost
-// without a word or refused since the request may crash servers.
-func mayCrash(answer *Answer) bool {
+// mayHaveCrashedServers reports whether the query has no part of an answer, and
+// legs that were lost or refused as suspects of a crash.
+func mayHaveCrashedServers(answer *Answer) bool {
 	if len(answer.Parts) > 0 {
 		return false
 	}
@@ -156,53 +151,49 @@
 }
 
 // cutOff ends the query if it is time to. At the final cut-off the open legs are
-// cancelled first, and what their homes say of them is taken in.
-//
-// Failure: a booking waits for a slot until its deadline and never gets one. Its
-// customer would be told that it may have run, and can't book again. The guard
-// holds because a local home answers a cancel at once, and says "not run" only
-// of a leg that no server has or had.
+// cancelled first and their results taken in, since a local home can then say
+// that a leg has not run. Otherwise the customer of a booking that only waited
+// for a slot would be told that it may have run, and could not book again.
 func (r *run) cutOff() {
 	now := r.c.now()
-	if !now.Before(FinalCutOff(r.work.Plan)) {
-		r.cancelRest()
-		r.takeWaiting()
+	if !now.Before(FinalCutOff(r.spec.Plan)) {
+		r.cancelOpen()
+		r.drainResults()
 	}
 	r.query.CutOff(now)
-	if r.query.Late() && r.asksMany() {
-		r.query.GiveUp(r.silentShards())
+	if r.query.PastSoftCutOff() && r.isMultiShard() {
+		r.query.EndIfUnreachable(r.countUnresponsiveShards())
 	}
 }
 
-// asksMany reports whether the query is one over several shards. What is decided
-// from the state of services holds for these only: a request to one service takes
-// nothing from others while it waits, may take its whole time, and may not run
-// twice, so that its end before an answer costs its caller the most.
-func (r *run) asksMany() bool { return len(r.work.Snapshot.Shards) > 1 }
+// isMultiShard reports whether the query has several shards. Only such a query
+// is refused or ended early because of the state of its services: a request to
+// one service holds no other slots while it waits, and may not be repeatable.
+func (r *run) isMultiShard() bool { return len(r.spec.Snapshot.Shards) > 1 }
 
-// lateCheck is how often a query that is past its target looks whether its least
-// coverage can still be had.
-const lateCheck = 100 * time.Millisecond
+// lateCheckInterval is how often a query past its soft deadline checks whether
+// its minimum coverage can still be reached.
+const lateCheckInterval = 100 * time.Millisecond
 
-// nextLook is how long until cutOff is due again.
-func (r *run) nextLook() time.Duration {
+// untilNextCheck is how long until cutOff is due again.
+func (r *run) untilNextCheck() time.Duration {
 	next := r.query.NextCutOff().Sub(r.c.now())
-	if r.query.Late() {
-		next = min(next, lateCheck)
+	if r.query.PastSoftCutOff() {
+		next = min(next, lateCheckInterval)
 	}
 	return next
 }
 
-// takeWaiting takes in the results that have come already.
-func (r *run) takeWaiting() {
+// drainResults handles the results that have arrived already.
+func (r *run) drainResults() {
 	for r.query.Answer() == nil {
 		select {
-		case a := <-r.results:
-			if a.result.Code == result.Cancelled && a.result.Outcome.NotRun() {
-				a.result.Code = result.DeadlineUnmeetable
-				a.result.Detail = "no server took it in time"
+		case res := <-r.results:
+			if res.result.Code == result.Cancelled && res.result.Outcome.NotRun() {
+				res.result.Code = result.DeadlineUnmeetable
+				res.result.Detail = "no server took it in time"
 			}
-			r.take(a)
+			r.handleResult(res)
 		default:
 			return
 		}
@@ -210,7 +201,7 @@
 }
 
 func (r *run) sendAll() {
-	for i, shard := range r.work.Snapshot.Shards {
+	for i, shard := range r.spec.Snapshot.Shards {
 		first, _ := r.c.homes.Of(shard.Service)
 		r.send(i, first)
 	}
@@ -218,100 +209,98 @@
 
 func (r *run) send(i int, host ident.HostID) {
 	request := r.request(i)
-	if r.maybe[i] {
+	if r.mayHaveRun[i] {
 		request.FailedHome = r.sentTo[i]
 	}
 	r.sentTo[i] = host
 	runner, ok := r.c.homes.Runner(host)
 	if !ok {
-		r.results <- arrival{i, leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, "no home for the service")}
+		r.results <- legResult{i, leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, "no home for the service")}
 		return
 	}
-	r.cancels[i] = runner.Run(request, func(res leg.Result) { r.arrive(i, res) })
+	r.cancels[i] = runner.Run(request, func(res leg.Result) { r.deliver(i, res) })
 }
 
-// arrive is called by runners, on their goroutines. The channel has room for
-// every result there can be, so it never blocks.
-func (r *run) arrive(i int, res leg.Result) {
+// deliver is called by runners, on their goroutines. The channel has room for
+// all results, so it never blocks.
+func (r *run) deliver(i int, res leg.Result) {
 	if r.ended.Load() {
 		r.c.counter.Verdict(VerdictLate)
 		return
 	}
-	r.results <- arrival{i, res}
+	r.results <- legResult{i, res}
 }
 
 func (r *run) request(i int) leg.Request {
-	shard := r.work.Snapshot.Shards[i]
+	shard := r.spec.Snapshot.Shards[i]
 	return leg.Request{
-		Request:      r.work.Request,
+		Request:      r.spec.Request,
 		Service:      shard.Service,
-		Index:        r.work.Index,
+		Index:        r.spec.Index,
 		Shard:        shard.ID,
-		Snapshot:     r.work.Snapshot.Version,
-		Class:        r.work.Class,
-		Caller:       r.work.Caller,
+		Snapshot:     r.spec.Snapshot.Version,
+		Class:        r.spec.Class,
+		Caller:       r.spec.Caller,
 		Deadline:     r.legDeadline(),
-		Idempotent:   r.work.Idempotent,
-		Fingerprint:  r.work.Fingerprint,
-		Body:         r.work.Body,
-		SoftDeadline: r.due(),
+		Idempotent:   r.spec.Idempotent,
+		Fingerprint:  r.spec.Fingerprint,
+		Body:         r.spec.Body,
+		SoftDeadline: r.softCutOff(),
 		Optional:     r.optional != nil && r.optional[i],
-		MaxServers:   r.work.MaxServers,
-		Forward:      r.work.Forward,
+		MaxServers:   r.spec.MaxServers,
+		Forward:      r.spec.Forward,
 	}
 }
 
-// legDeadline is when a leg's result is of no use any more. A forwarded request
-// is given up at its cut-off: a server that is handed more time works for nobody,
-// and a slot that is freed at the cut-off would go to one that ends with it.
+// legDeadline is when a leg's result becomes useless: for a forwarded request at
+// its final cut-off, so that no server works on it any longer.
 func (r *run) legDeadline() time.Time {
-	if r.work.Forward == nil {
-		return r.work.Deadline
+	if r.spec.Forward == nil {
+		return r.spec.Deadline
 	}
-	return FinalCutOff(r.work.Plan)
+	return FinalCutOff(r.spec.Plan)
 }
 
-// due is when a leg's result must be there to go into an answer in time.
-func (r *run) due() time.Time {
-	if r.work.SoftDeadline.IsZero() {
+// softCutOff is when a leg's result must arrive for the answer to be in time.
+func (r *run) softCutOff() time.Time {
+	if r.spec.SoftDeadline.IsZero() {
 		return time.Time{}
 	}
-	return TargetCutOff(r.work.Plan)
+	return SoftCutOff(r.spec.Plan)
 }
 
-func (r *run) take(a arrival) {
-	r.times[a.position].Time = r.c.now().Sub(r.started)
-	r.times[a.position].Wait = a.result.QueueTime
-	if len(a.result.HeldSnapshots) > 0 {
-		r.c.learn(r.work.Snapshot.Shards[a.position].Service, r.work.Index, a.result.HeldSnapshots)
+func (r *run) handleResult(res legResult) {
+	r.timings[res.shard].Time = r.c.now().Sub(r.started)
+	r.timings[res.shard].Wait = res.result.QueueTime
+	if len(res.result.HeldSnapshots) > 0 {
+		r.c.onHeld(r.spec.Snapshot.Shards[res.shard].Service, r.spec.Index, res.result.HeldSnapshots)
 	}
-	if r.failOver(a) {
+	if r.failOver(res) {
 		return
 	}
-	if r.maybe[a.position] && a.result.Outcome.NotRun() {
-		// The first home was lost with the leg in its hands: it may have run
-		// there, so the second home's "not run" does not hold for the leg.
-		a.result.Outcome = result.OutcomeUnknown
+	if r.mayHaveRun[res.shard] && res.result.Outcome.NotRun() {
+		// The leg may have run at the first home before that was lost, so the
+		// second home's "not run" does not hold for the whole leg.
+		res.result.Outcome = result.OutcomeUnknown
 	}
-	r.c.counter.Verdict(r.query.AddResult(a.result))
+	r.c.counter.Verdict(r.query.AddResult(res.result))
 }
 
-// legTimes completes the times: a leg without a result took at least until now.
-func (r *run) legTimes() []LegTiming {
-	spent := r.c.now().Sub(r.started)
-	for i := range r.times {
-		t := &r.times[i]
-		t.Service = r.work.Snapshot.Shards[i].Service
+// legTimings completes the timings: a leg without a result took at least until now.
+func (r *run) legTimings() []LegTiming {
+	elapsed := r.c.now().Sub(r.started)
+	for i := range r.timings {
+		t := &r.timings[i]
+		t.Service = r.spec.Snapshot.Shards[i].Service
 		if t.Time == 0 {
-			*t = LegTiming{Service: t.Service, Time: spent, Wait: leg.UnknownQueueTime, TimedOut: true}
+			*t = LegTiming{Service: t.Service, Time: elapsed, Wait: leg.UnknownQueueTime, TimedOut: true}
 		}
 	}
-	return r.times
+	return r.timings
 }
 
-// cancelRest cancels what is under way. Cancelling a leg that has ended does
-// nothing; results that still come are left in the channel and dropped with it.
-func (r *run) cancelRest() {
+// cancelOpen cancels the open legs; it has no effect on a leg that has ended.
+func (r *run) cancelOpen() {
 	for _, cancel := range r.cancels {
 		if cancel != nil {
 			cancel()
