--- a/member/agent.go
+++ b/member/agent.go
@@ -18,78 +18,75 @@
 )
 
 const (
-	// eventQueue holds events that wait for the control loop. Callers block
+	// eventQueueSize is the capacity of the control loop's queue. Callers block
 	// when it is full, up to their own deadline.
-	eventQueue = 256
-	// loadOnlyEvery and loadOnlyPerHost bound how often a view is published for
-	// loads alone: often enough that callers are sent to more hosts within a second
-	// of a burst, and once a second in a fleet of 3,400.
-	loadOnlyEvery   = 250 * time.Millisecond
-	loadOnlyPerHost = 300 * time.Microsecond
-	// changedEvery and changedPerHost bound how often it is for anything. While
-	// an availability zone is lost states change all the time, and with each
-	// view of 3,400 hosts readers work out the homes of 10,500 services anew,
-	// 62 ms of a core: at 50 ms between views a core would be full.
-	changedEvery   = 50 * time.Millisecond
-	changedPerHost = 100 * time.Microsecond
-	// relaysAtOnce bounds the probes made for others at one time.
-	relaysAtOnce = 32
-	// listWatchers hosts of each availability zone read the host list.
-	listWatchers = 2
-	// listEvery is how often they read it in a small fleet; listPerHost slows
-	// that down as the list grows.
-	listEvery   = 2 * time.Second
-	listPerHost = 10 * time.Millisecond
-	listTimeout = 2 * time.Second
+	eventQueueSize = 256
+	// The interval between views that differ only in loads, and its growth with
+	// the fleet.
+	minLoadViewInterval     = 250 * time.Millisecond
+	loadViewIntervalPerHost = 300 * time.Microsecond
+	// The interval between any two views, and its growth with the fleet: each view
+	// makes readers recompute the placement of homes, while states may change all
+	// the time, as when an availability zone is lost.
+	minViewInterval     = 50 * time.Millisecond
+	viewIntervalPerHost = 100 * time.Microsecond
+	// maxRelayedProbes bounds the concurrent probes on behalf of peers.
+	maxRelayedProbes = 32
+	// hostListReaders is how many hosts of each availability zone read the host list.
+	hostListReaders = 2
+	// The interval between reads of the host list, and its growth with the list.
+	minHostListInterval     = 2 * time.Second
+	hostListIntervalPerHost = 10 * time.Millisecond
+	hostListTimeout         = 2 * time.Second
 )
 
-// AgentConfig is what an Agent needs. Pool and Logger must be set; callbacks
+// AgentConfig configures an Agent. Pool and Logger are required; callbacks
 // may be nil. They run on the control loop and must not block.
 type AgentConfig struct {
 	Membership Config
 	Pool       *peer.Pool
-	HostList   metastore.HostList // nil: no second opinion
+	HostList   metastore.HostList // nil: deaths are never confirmed by a list
 	Now        func() time.Time   // nil: time.Now
-	Rand       *rand.Rand         // nil: seeded by the operating system
+	Rand       *rand.Rand         // nil: randomly seeded
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer // nil: no metrics
 
-	// OnConfigNews hears of a configuration newer than the one announced by
-	// AnnounceConfig, again with each message until then.
+	// OnConfigNews is called for a configuration newer than the announced one, again
+	// with each message until AnnounceConfig has been called for it.
 	OnConfigNews func(ConfigNews)
-	// OnBackendNews hears once of each leaving life of a backend server.
+	// OnBackendNews is called once for each incarnation of a backend server that leaves.
 	OnBackendNews func(BackendNews)
-	// OnSuspectRequest hears once of each suspicion.
+	// OnSuspectRequest is called once for each suspected request.
 	OnSuspectRequest func(SuspectRequestNews)
-	// OnView hears of each published view.
+	// OnView is called with each published view.
 	OnView func(*View)
-	// OnReplaced hears once that another process runs under this host's ID:
+	// OnReplaced is called once when another process runs under this host's ID:
 	// this one must stop.
 	OnReplaced func()
 }
 
-// Agent runs a Membership: one goroutine owns it, calls to peers run beside.
+// Agent runs a Membership in one goroutine and its calls to peers in others.
 type Agent struct {
 	config  AgentConfig
 	metrics *metrics
 	events  chan func(now time.Time, m *Membership)
 	done    chan struct{}
 
-	view        atomic.Pointer[View]
-	peerHeardAt atomic.Int64 // nanoseconds since 1970; 0: never
-	joined      atomic.Bool
-	incarnation atomic.Uint64
+	view            atomic.Pointer[View]
+	lastPeerContact atomic.Int64 // Unix nanoseconds; 0: never
+	joined          atomic.Bool
+	incarnation     atomic.Uint64
 
 	// Owned by the control loop.
-	members     *Membership
-	startedAt   time.Time
-	publishedAt time.Time
-	wasReplaced bool
-	calls       sync.WaitGroup
-	relays      chan struct{}
+	membership       *Membership
+	startedAt        time.Time
+	publishedAt      time.Time
+	replacedReported bool
+	calls            sync.WaitGroup
+	relaySlots       chan struct{}
 }
 
-// NewAgent makes an agent; Run starts it.
+// NewAgent returns an agent; Run starts it.
 func NewAgent(config AgentConfig) *Agent {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -99,88 +96,87 @@
 	}
 	now := config.Now()
 	a := &Agent{
-		config:    config,
-		metrics:   newMetrics(config.Registerer),
-		events:    make(chan func(time.Time, *Membership), eventQueue),
-		done:      make(chan struct{}),
-		members:   New(config.Membership, now, config.Rand),
-		startedAt: now,
-		relays:    make(chan struct{}, relaysAtOnce),
+		config:     config,
+		metrics:    newMetrics(config.Registerer),
+		events:     make(chan func(time.Time, *Membership), eventQueueSize),
+		done:       make(chan struct{}),
+		membership: New(config.Membership, now, config.Rand),
+		startedAt:  now,
+		relaySlots: make(chan struct{}, maxRelayedProbes),
 	}
 	a.publish(now)
 	return a
 }
 
-// View is the newest published view. It never is nil.
+// View returns the newest published view. It is never nil.
 func (a *Agent) View() *View { return a.view.Load() }
 
-// Joined reports whether a peer has given its whole view.
+// Joined reports whether a peer has sent its complete view.
 func (a *Agent) Joined() bool { return a.joined.Load() }
 
-// Incarnation is this host's life. It can rise until Joined, see Membership.
+// Incarnation is this host's incarnation. It can rise until Joined; see Membership.
 func (a *Agent) Incarnation() ident.Incarnation { return ident.Incarnation(a.incarnation.Load()) }
 
-// PeerHeardAt is when a peer last answered; zero: never.
+// PeerHeardAt is when a peer last answered a call of this host; zero: never.
 func (a *Agent) PeerHeardAt() time.Time {
-	nanos := a.peerHeardAt.Load()
-	if nanos == 0 {
+	unixNanos := a.lastPeerContact.Load()
+	if unixNanos == 0 {
 		return time.Time{}
 	}
-	return time.Unix(0, nanos)
+	return time.Unix(0, unixNanos)
 }
 
-// CutOff decides whether new requests are to be refused as not run. The
-// caller passes when the platform's store last answered; zero: never.
+// CutOff reports whether new requests must be refused as not run. storeHeardAt is
+// when the platform's store last answered; zero: never.
 func (a *Agent) CutOff(now, storeHeardAt time.Time, after time.Duration) bool {
 	return CutOff(now, Contact{
-		StartedAt:    a.startedAt,
-		PeerHeardAt:  a.PeerHeardAt(),
-		StoreHeardAt: storeHeardAt,
-		Minority:     a.View().Minority,
+		StartedAt:        a.startedAt,
+		LastPeerContact:  a.PeerHeardAt(),
+		LastStoreContact: storeHeardAt,
+		Minority:         a.View().Minority,
 	}, after)
 }
 
-// AnnounceConfig tells peers which configuration this host has in force.
+// AnnounceConfig gossips the configuration that this host has in force.
 func (a *Agent) AnnounceConfig(generation uint64, manifestHash []byte) {
 	a.post(func(now time.Time, m *Membership) { m.AnnounceConfig(now, generation, manifestHash) })
 }
 
-// AnnounceStore tells peers up to which revisions of the store this host knows its
-// changes.
+// AnnounceStore gossips the store revisions that this host has applied.
 func (a *Agent) AnnounceStore(known StoreRevisions) {
 	a.post(func(now time.Time, m *Membership) { m.AnnounceStore(now, known) })
 }
 
-// AnnounceBackend tells peers that a life of a backend server is leaving.
-func (a *Agent) AnnounceBackend(news BackendNews) {
-	a.post(func(now time.Time, m *Membership) { m.AnnounceBackend(now, news) })
+// AnnounceBackend gossips that an incarnation of a backend server is leaving.
+func (a *Agent) AnnounceBackend(update BackendNews) {
+	a.post(func(now time.Time, m *Membership) { m.AnnounceBackend(now, update) })
 }
 
-// AnnounceSuspectRequest tells peers of a request in flight at a lost server.
-func (a *Agent) AnnounceSuspectRequest(news SuspectRequestNews) {
-	a.post(func(now time.Time, m *Membership) { m.AnnounceSuspectRequest(now, news) })
+// AnnounceSuspectRequest gossips a request that was in flight at a crashed server.
+func (a *Agent) AnnounceSuspectRequest(update SuspectRequestNews) {
+	a.post(func(now time.Time, m *Membership) { m.AnnounceSuspectRequest(now, update) })
 }
 
-// ReportUnreachable says that traffic could not reach a host.
+// ReportUnreachable reports a host that traffic could not reach.
 func (a *Agent) ReportUnreachable(id ident.HostID) {
 	a.post(func(now time.Time, m *Membership) { m.ReportUnreachable(now, id) })
 }
 
-// SetLoad sets this host's measure of its own load, in thousandths.
+// SetLoad sets this host's load, in thousandths.
 func (a *Agent) SetLoad(permille uint32) {
 	a.post(func(_ time.Time, m *Membership) { m.SetLoad(permille) })
 }
 
-// AddSeeds adds peer addresses to call when no peer is known.
+// AddSeeds adds peer addresses to call while no peer is known.
 func (a *Agent) AddSeeds(addresses []string) {
 	a.post(func(_ time.Time, m *Membership) { m.config.Seeds = append(m.config.Seeds, addresses...) })
 }
 
-// Leave announces a planned stop and returns when it was sent on or ctx ends.
-// The agent runs on, so that work in flight can be finished; ending Run's
-// context then tells peers that this host is gone.
+// Leave announces a planned stop and returns once it has been sent or ctx ends.
+// The agent keeps running so that work in flight can finish; cancelling Run's
+// context then announces that this host is gone.
 func (a *Agent) Leave(ctx context.Context) error {
-	err := a.ask(ctx, func(now time.Time, m *Membership) { m.Leave(now) })
+	err := a.postAndWait(ctx, func(now time.Time, m *Membership) { m.Leave(now) })
 	if err != nil {
 		return err
 	}
@@ -191,7 +187,7 @@
 	return nil
 }
 
-// post hands an event to the control loop. Once the agent stopped it is void.
+// post sends an event to the control loop. After the agent has stopped it does nothing.
 func (a *Agent) post(event func(time.Time, *Membership)) {
 	select {
 	case a.events <- event:
@@ -199,8 +195,8 @@
 	}
 }
 
-// ask posts an event and waits until it was handled.
-func (a *Agent) ask(ctx context.Context, event func(time.Time, *Membership)) error {
+// postAndWait sends an event to the control loop and waits until it was handled.
+func (a *Agent) postAndWait(ctx context.Context, event func(time.Time, *Membership)) error {
 	handled := make(chan struct{})
 	wrapped := func(now time.Time, m *Membership) {
 		event(now, m)
@@ -223,12 +219,12 @@
 	}
 }
 
-// Run is the control loop. It returns when ctx ends, after it told peers that
-// this host is gone.
+// Run is the control loop. When ctx ends it tells peers that this host is gone
+// and returns.
 func (a *Agent) Run(ctx context.Context) error {
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stopList := a.startListReader(callCtx)
+	stopList := a.startHostListReader(callCtx)
 	defer stopList()
 
 	timer := time.NewTimer(0)
@@ -241,121 +237,121 @@
 			a.depart(context.WithoutCancel(ctx))
 			return nil
 		case event := <-a.events:
-			event(a.config.Now(), a.members)
+			event(a.config.Now(), a.membership)
 		case <-timer.C:
 		}
-		a.turn(callCtx)
-		timer.Reset(a.untilNext())
+		a.step(callCtx)
+		timer.Reset(a.untilNextDue())
 	}
 }
 
-func (a *Agent) untilNext() time.Duration {
-	wait := a.members.NextDue().Sub(a.config.Now())
-	return max(wait, 0)
+func (a *Agent) untilNextDue() time.Duration {
+	untilDue := a.membership.NextDue().Sub(a.config.Now())
+	return max(untilDue, 0)
 }
 
-// turn does what is due and passes on what changed.
-func (a *Agent) turn(ctx context.Context) {
+// step starts the calls that are due, delivers updates and publishes the view.
+func (a *Agent) step(ctx context.Context) {
 	now := a.config.Now()
-	for _, call := range a.members.Tick(now) {
-		a.start(ctx, call)
+	for _, call := range a.membership.Tick(now) {
+		a.startCall(ctx, call)
 	}
-	a.deliver(a.members.TakeReceived())
+	a.deliver(a.membership.TakeReceived())
 	a.publishIfDue(now)
 }
 
-func (a *Agent) deliver(received Received) {
-	for _, news := range received.Configs {
+func (a *Agent) deliver(received ReceivedUpdates) {
+	for _, update := range received.Configs {
 		if a.config.OnConfigNews != nil {
-			a.config.OnConfigNews(news)
+			a.config.OnConfigNews(update)
 		}
 	}
-	for _, news := range received.Backends {
+	for _, update := range received.Backends {
 		if a.config.OnBackendNews != nil {
-			a.config.OnBackendNews(news)
+			a.config.OnBackendNews(update)
 		}
 	}
-	for _, news := range received.Suspects {
+	for _, update := range received.Suspects {
 		if a.config.OnSuspectRequest != nil {
-			a.config.OnSuspectRequest(news)
+			a.config.OnSuspectRequest(update)
 		}
 	}
 }
 
 func (a *Agent) publishIfDue(now time.Time) {
-	if heard := a.members.PeerHeardAt(); !heard.IsZero() {
-		a.peerHeardAt.Store(heard.UnixNano())
+	if last := a.membership.LastPeerContact(); !last.IsZero() {
+		a.lastPeerContact.Store(last.UnixNano())
 	}
 	age := now.Sub(a.publishedAt)
 	hosts := len(a.View().Hosts)
-	if age < viewInterval(hosts) || (!a.members.StateChanged() && age < loadInterval(hosts)) {
+	if age < viewInterval(hosts) || (!a.membership.StateChanged() && age < loadViewInterval(hosts)) {
 		return
 	}
 	a.publish(now)
 }
 
-// viewInterval is the least time between two views of a fleet.
+// viewInterval is the minimum interval between two views.
 func viewInterval(hosts int) time.Duration {
-	return max(changedEvery, time.Duration(hosts)*changedPerHost)
+	return max(minViewInterval, time.Duration(hosts)*viewIntervalPerHost)
 }
 
-// loadInterval is the least time between two views that differ in loads only.
-func loadInterval(hosts int) time.Duration {
-	return max(loadOnlyEvery, time.Duration(hosts)*loadOnlyPerHost)
+// loadViewInterval is the minimum interval between two views that differ in loads only.
+func loadViewInterval(hosts int) time.Duration {
+	return max(minLoadViewInterval, time.Duration(hosts)*loadViewIntervalPerHost)
 }
 
 func (a *Agent) publish(now time.Time) {
 	a.publishedAt = now
-	a.joined.Store(a.members.Joined())
-	a.incarnation.Store(uint64(a.members.Incarnation()))
+	a.joined.Store(a.membership.Joined())
+	a.incarnation.Store(uint64(a.membership.Incarnation()))
 	previous := a.view.Load()
-	view := a.members.View()
+	view := a.membership.View()
 	if view == previous {
 		return
 	}
 	a.view.Store(view)
-	a.metrics.observe(a.members.Counters(), view)
+	a.metrics.observe(a.membership.Counters(), view)
 	a.logChanges(previous, view)
 	if a.config.OnView != nil {
 		a.config.OnView(view)
 	}
-	if view.Replaced && !a.wasReplaced {
-		a.wasReplaced = true
-		a.config.Logger.Error("another process runs under this host's name; this one takes no more part")
+	if view.Replaced && !a.replacedReported {
+		a.replacedReported = true
+		a.config.Logger.Error("another process runs under this host's ID; this process leaves the membership")
 		if a.config.OnReplaced != nil {
 			a.config.OnReplaced()
 		}
 	}
 }
 
-// depart tells peers that this host is gone, as the last thing, and waits for
-// the calls still out. Nobody posts events any more.
+// depart tells peers that this host is gone and waits for the calls in flight.
+// No events are posted any more.
 func (a *Agent) depart(ctx context.Context) {
 	now := a.config.Now()
-	a.members.Depart(now)
+	a.membership.Depart(now)
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
-	for _, call := range a.members.Tick(now.Add(pushDelay)) {
+	for _, call := range a.membership.Tick(now.Add(pushDelay)) {
 		if call.Push != nil {
-			a.start(ctx, call)
+			a.startCall(ctx, call)
 		}
 	}
 	a.calls.Wait()
 }
 
-// logChanges writes a line for each host whose state changed.
+// logChanges logs each host whose state changed.
 func (a *Agent) logChanges(previous, view *View) {
 	if previous == nil {
 		return
 	}
-	for _, h := range view.Hosts {
-		before, known := previous.Find(h.ID)
-		if known && before.State == h.State && before.Incarnation == h.Incarnation {
+	for _, host := range view.Hosts {
+		before, known := previous.Find(host.ID)
+		if known && before.State == host.State && before.Incarnation == host.Incarnation {
 			continue
 		}
 		a.config.Logger.Info("entry host changed state",
-			zap.String("host", string(h.ID)), zap.Stringer("state", h.State),
-			zap.String("zone", h.Zone), zap.Uint64("incarnation", uint64(h.Incarnation)))
+			zap.String("host", string(host.ID)), zap.Stringer("state", host.State),
+			zap.String("zone", host.Zone), zap.Uint64("incarnation", uint64(host.Incarnation)))
 	}
 }
 
--- a/member/calls.go
+++ b/member/calls.go
@@ -11,18 +11,18 @@
 	"github.com/goldcrestspan/goldcrestspan/member/memberpb"
 )
 
-// start makes a call beside the control loop and posts its end.
-func (a *Agent) start(ctx context.Context, call Call) {
+// startCall makes a call in a goroutine and posts its result to the control loop.
+func (a *Agent) startCall(ctx context.Context, call Call) {
 	a.calls.Add(1)
 	go func() {
 		defer a.calls.Done()
 		ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 		defer cancel()
-		a.make(ctx, call)
+		a.makeCall(ctx, call)
 	}()
 }
 
-func (a *Agent) make(ctx context.Context, call Call) {
+func (a *Agent) makeCall(ctx context.Context, call Call) {
 	client := memberpb.NewDRPCMemberClient(a.config.Pool.Conn(ctx, call.Address))
 	switch {
 	case call.Probe != nil:
@@ -30,50 +30,51 @@
 		reply, err := client.Probe(ctx, call.Probe)
 		a.metrics.received(reply)
 		a.post(func(now time.Time, m *Membership) {
-			m.ProbeDone(now, call.Probe.Sequence, unless(err, reply))
+			m.ProbeDone(now, call.Probe.Sequence, replyOrNil(err, reply))
 		})
 	case call.ProbeFor != nil:
 		a.metrics.sent(call.ProbeFor)
 		reply, err := client.ProbeFor(ctx, call.ProbeFor)
 		a.metrics.received(reply)
 		a.post(func(now time.Time, m *Membership) {
-			m.ProbeForDone(now, call.ProbeFor.Sequence, unless(err, reply))
+			m.ProbeForDone(now, call.ProbeFor.Sequence, replyOrNil(err, reply))
 		})
 	case call.Push != nil:
 		a.metrics.sent(call.Push)
-		_, _ = client.Push(ctx, call.Push) // probes carry the news as well
+		_, _ = client.Push(ctx, call.Push) // probes carry the same updates
 	case call.Sync != nil:
 		a.metrics.sent(call.Sync)
 		reply, err := client.Sync(ctx, call.Sync)
 		a.metrics.received(reply)
-		a.post(func(now time.Time, m *Membership) { m.SyncDone(now, unless(err, reply)) })
+		a.post(func(now time.Time, m *Membership) { m.SyncDone(now, replyOrNil(err, reply)) })
 	}
 }
 
-// unless returns the reply, or nil when the call failed.
-func unless[T any](err error, reply *T) *T {
+// replyOrNil returns the reply, or nil if the call failed.
+func replyOrNil[T any](err error, reply *T) *T {
 	if err != nil {
 		return nil
 	}
 	return reply
 }
 
-// service answers peers' calls by asking the control loop.
+// service answers peers' calls on the control loop.
 type service struct{ agent *Agent }
 
-// Register registers the membership service for peers.
+// Register registers the membership service.
 func (a *Agent) Register(mux drpc.Mux) error {
 	return errors.Wrap(memberpb.DRPCRegisterMember(mux, &service{agent: a}), "register membership")
 }
 
-// errNotServing refuses a peer's call that is meant for another host or life.
+// errNotServing refuses a call that is meant for another host, or that arrives
+// after this one departed or was replaced.
 var errNotServing = errors.New("member: not the host that was asked for")
 
-// serve runs one request on the control loop.
-func serve[Q, R proto.Message](ctx context.Context, a *Agent, request Q, f func(time.Time, *Membership, Q) R) (R, error) {
+// handle runs one request on the control loop.
+func handle[Q, R proto.Message](ctx context.Context, a *Agent, request Q, f func(time.Time, *Membership, Q) R) (R, error) {
 	var reply, none R
 	a.metrics.received(request)
-	err := a.ask(ctx, func(now time.Time, m *Membership) { reply = f(now, m, request) })
+	err := a.postAndWait(ctx, func(now time.Time, m *Membership) { reply = f(now, m, request) })
 	if err != nil {
 		return none, err
 	}
@@ -86,47 +87,47 @@
 
 // Probe answers a peer's probe.
 func (s *service) Probe(ctx context.Context, request *memberpb.ProbeRequest) (*memberpb.ProbeReply, error) {
-	return serve(ctx, s.agent, request, func(now time.Time, m *Membership, q *memberpb.ProbeRequest) *memberpb.ProbeReply {
+	return handle(ctx, s.agent, request, func(now time.Time, m *Membership, q *memberpb.ProbeRequest) *memberpb.ProbeReply {
 		return m.ServeProbe(now, q)
 	})
 }
 
-// Push takes in a peer's urgent news.
+// Push applies a peer's urgent updates.
 func (s *service) Push(ctx context.Context, request *memberpb.PushRequest) (*memberpb.PushReply, error) {
-	return serve(ctx, s.agent, request, func(now time.Time, m *Membership, q *memberpb.PushRequest) *memberpb.PushReply {
+	return handle(ctx, s.agent, request, func(now time.Time, m *Membership, q *memberpb.PushRequest) *memberpb.PushReply {
 		return m.ServePush(now, q)
 	})
 }
 
-// Sync gives a peer the whole view.
+// Sync sends a peer the complete view.
 func (s *service) Sync(ctx context.Context, request *memberpb.SyncRequest) (*memberpb.SyncReply, error) {
-	return serve(ctx, s.agent, request, func(now time.Time, m *Membership, q *memberpb.SyncRequest) *memberpb.SyncReply {
+	return handle(ctx, s.agent, request, func(now time.Time, m *Membership, q *memberpb.SyncRequest) *memberpb.SyncReply {
 		return m.ServeSync(now, q)
 	})
 }
 
-// ProbeFor probes the target for a peer. The number of such probes at one time
-// is bounded; above it the peer gets "not reached" from this host.
+// ProbeFor probes a target on behalf of a peer. It fails when too many such
+// probes are in flight.
 func (s *service) ProbeFor(ctx context.Context, request *memberpb.ProbeForRequest) (*memberpb.ProbeForReply, error) {
 	a := s.agent
 	select {
-	case a.relays <- struct{}{}:
-		defer func() { <-a.relays }()
+	case a.relaySlots <- struct{}{}:
+		defer func() { <-a.relaySlots }()
 	default:
 		return nil, errors.New("member: too many probes for others")
 	}
-	outward, err := serve(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeRequest {
+	outward, err := handle(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeRequest {
 		return m.RelayProbe(now, q)
 	})
 	if err != nil {
 		return nil, err
 	}
-	limit := a.members.config.DirectTimeout
-	probeCtx, cancel := context.WithTimeout(ctx, limit)
+	timeout := a.membership.config.DirectProbeTimeout
+	probeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	client := memberpb.NewDRPCMemberClient(a.config.Pool.Conn(probeCtx, request.TargetAddress))
 	reply, probeErr := client.Probe(probeCtx, outward)
-	return serve(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeForReply {
-		return m.RelayDone(now, q, unless(probeErr, reply))
+	return handle(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeForReply {
+		return m.RelayDone(now, q, replyOrNil(probeErr, reply))
 	})
 }
--- a/member/hostlist.go
+++ b/member/hostlist.go
@@ -8,14 +8,10 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// hostList is the platform's list of entry hosts as last read.
-//
-// The rule between the two sources: probes say who is alive, the list only
-// (1) names addresses to try and (2) confirms a loss, which turns StateDead into StateGone. So an empty, stale or
-// wrong list removes nobody. And when probes lose half of the own region or
-// more without the list agreeing, the lost hosts are published as suspects and
-// not as dead, so a fault of the probes' own path does not empty the fleet
-// either; the list lags by some 30 s, after which both agree.
+// hostList is the platform's list of entry hosts as last read. It only provides
+// addresses to try and confirms deaths, which turns StateDead into StateGone; an
+// empty, stale or wrong list removes no host. See publishedState for dead hosts
+// that the list does not confirm.
 type hostList struct {
 	readAt    time.Time
 	live      map[ident.HostID]bool
@@ -23,9 +19,9 @@
 	plausible bool
 }
 
-// HostList takes a fresh reading of the platform's host list.
-func (m *Membership) HostList(now time.Time, rows []metastore.ListedHost) {
-	m.enter(now)
+// ApplyHostList applies a reading of the platform's host list.
+func (m *Membership) ApplyHostList(now time.Time, rows []metastore.ListedHost) {
+	m.detectPause(now)
 	list := hostList{readAt: now, live: make(map[ident.HostID]bool)}
 	for _, row := range rows {
 		id := ident.HostID(row.Name)
@@ -35,54 +31,53 @@
 		list.live[id] = true
 		list.rows = append(list.rows, row)
 	}
-	list.plausible = m.plausible(list)
-	m.list = list
-	m.confirmLosses(now)
+	list.plausible = m.isPlausible(list)
+	m.hostList = list
+	m.confirmDeaths(now)
 }
 
-// confirmLosses tells everyone which of the dead hosts the list does not name
-// as live either. Only a few hosts of a zone read the list.
-func (m *Membership) confirmLosses(now time.Time) {
+// confirmDeaths moves dead hosts that the list does not name as live to StateGone
+// and gossips that, since only a few hosts of a zone read the list.
+func (m *Membership) confirmDeaths(now time.Time) {
 	for _, r := range slices.Clone(m.dead) {
-		if r.State == StateDead && m.list.confirmsLoss(now, r, m.config.ListFreshFor) {
+		if r.State == StateDead && m.hostList.confirmsDeath(now, r, m.config.HostListMaxAge) {
 			m.setVersion(now, r, version{r.Incarnation, r.refutation, StateGone}, false)
 		}
 	}
 }
 
-// strangers are the addresses of listed hosts that no peer told of, or whose
-// life at another address is dead.
-func (m *Membership) strangers() []string {
-	var addresses []string
-	for _, row := range m.list.rows {
+// unknownAddresses returns the addresses of listed hosts that no peer has named, or
+// that are dead at another address.
+func (m *Membership) unknownAddresses() []string {
+	var unknown []string
+	for _, row := range m.hostList.rows {
 		r := m.records[ident.HostID(row.Name)]
-		if r == nil || (r.lost() && r.PeerAddress != row.Address) {
-			addresses = append(addresses, row.Address)
+		if r == nil || (r.isDead() && r.PeerAddress != row.Address) {
+			unknown = append(unknown, row.Address)
 		}
 	}
-	return addresses
+	return unknown
 }
 
-// plausible guards against a list that was cut short: one that lacks more than
-// half of the hosts that answer is not believed.
-func (m *Membership) plausible(list hostList) bool {
-	alive, named := 0, 0
+// isPlausible rejects a truncated list, one that lacks more than half of the live hosts.
+func (m *Membership) isPlausible(list hostList) bool {
+	alive, listed := 0, 0
 	for _, r := range m.sorted {
 		if r.State != StateAlive {
 			continue
 		}
 		alive++
 		if list.live[r.ID] {
-			named++
+			listed++
 		}
 	}
-	return len(list.live) > 0 && 2*named >= alive
+	return len(list.live) > 0 && 2*listed >= alive
 }
 
-// confirmsLoss reports that a fresh and plausible list does not name the host
+// confirmsDeath reports whether a recent and plausible list does not name the host
 // as live.
-func (l *hostList) confirmsLoss(now time.Time, r *record, freshFor time.Duration) bool {
-	if l.readAt.IsZero() || now.Sub(l.readAt) > freshFor {
+func (l *hostList) confirmsDeath(now time.Time, r *record, maxAge time.Duration) bool {
+	if l.readAt.IsZero() || now.Sub(l.readAt) > maxAge {
 		return false
 	}
 	return l.plausible && !l.live[r.ID]
--- a/member/join.go
+++ b/member/join.go
@@ -3,58 +3,50 @@
 import "time"
 
 const (
-	// firstJoinPause is the pause after a first question to the seeds that got
-	// no answer; it doubles up to Config.ReconnectEvery. Hosts of a fleet that
-	// starts are up within 0.3 s of each other.
-	firstJoinPause = 150 * time.Millisecond
-	// joinAgainAfter is how long after its first whole view a host looks whether
-	// that was taken from a fleet that had itself just started.
-	joinAgainAfter = 500 * time.Millisecond
-	// joinAgainGrowth is how many times more hosts must be known by then for the
-	// whole view to be worth asking for once more.
-	joinAgainGrowth = 1.1
+	// initialJoinDelay is the first delay before the seeds are asked again; it
+	// doubles up to Config.ReconnectInterval.
+	initialJoinDelay = 150 * time.Millisecond
+	// joinRecheckDelay is the delay between the first complete view and the check
+	// whether the fleet has grown since.
+	joinRecheckDelay = 500 * time.Millisecond
+	// joinRecheckGrowth is the growth factor above which the view is requested again.
+	joinRecheckGrowth = 1.1
 )
 
-// join is a host's way into the fleet.
-//
-// Failure: a whole fleet starts at once. The seeds are up last, or know only
-// who has asked them before, and news of the others comes with the probes of
-// the next seconds. It shows as hosts that each take a handful for the whole
-// fleet. The guard holds because a seed is asked again at once, and once more
-// when the fleet has turned out to be larger than its first view: a fleet of 83
-// is acquainted after 0.7 s in place of 3.6 s. A host that joins a running
-// fleet asks once.
-type join struct {
-	tries int       // questions to the seeds so far
-	known int       // hosts in the first whole view
-	again time.Time // when to look at the view's growth; zero: not any more
+// joinState tracks how this host joins the fleet. When a whole fleet starts at
+// once, the first seed that answers knows few hosts, so the view is requested again
+// if the fleet has grown shortly afterwards.
+type joinState struct {
+	attempts    int       // requests to the seeds so far
+	knownAtJoin int       // hosts in the first complete view
+	recheckAt   time.Time // when to check for growth; zero: done
 }
 
-// enter notes the first whole view.
-func (j *join) enter(now time.Time, known int) {
-	j.known = known
-	j.again = now.Add(joinAgainAfter)
+// begin records the first complete view.
+func (j *joinState) begin(now time.Time, known int) {
+	j.knownAtJoin = known
+	j.recheckAt = now.Add(joinRecheckDelay)
 }
 
-// dueAgain reports, once, that the view should be asked for again.
-func (j *join) dueAgain(now time.Time, known int) bool {
-	if j.again.IsZero() || now.Before(j.again) {
+// resyncDue reports, at most once, that the view should be requested again.
+func (j *joinState) resyncDue(now time.Time, known int) bool {
+	if j.recheckAt.IsZero() || now.Before(j.recheckAt) {
 		return false
 	}
-	j.again = time.Time{}
-	return float64(known) > joinAgainGrowth*float64(j.known)
+	j.recheckAt = time.Time{}
+	return float64(known) > joinRecheckGrowth*float64(j.knownAtJoin)
 }
 
-// reconnectPause is the pause until the next try to reach a lost host, or, for
-// a host that has not joined, the seeds.
-func (m *Membership) reconnectPause() time.Duration {
+// reconnectDelay is the delay before the next attempt to reach a dead host or,
+// before this host has joined, the seeds.
+func (m *Membership) reconnectDelay() time.Duration {
 	if m.joined {
-		return m.config.ReconnectEvery
+		return m.config.ReconnectInterval
 	}
-	pause := min(firstJoinPause<<m.join.tries, m.config.ReconnectEvery)
-	m.join.tries = min(m.join.tries+1, maxJoinTries)
-	return pause
+	delay := min(initialJoinDelay<<m.joining.attempts, m.config.ReconnectInterval)
+	m.joining.attempts = min(m.joining.attempts+1, maxJoinAttempts)
+	return delay
 }
 
-// maxJoinTries keeps the doubling within a duration.
-const maxJoinTries = 8
+// maxJoinAttempts keeps the doubled delay from overflowing.
+const maxJoinAttempts = 8
--- a/member/listreader.go
+++ b/member/listreader.go
@@ -11,9 +11,9 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// startListReader reads the platform's host list now and then. The returned
-// function waits for the reader's end.
-func (a *Agent) startListReader(ctx context.Context) func() {
+// startHostListReader reads the platform's host list periodically. The returned
+// function stops the reader and waits for it.
+func (a *Agent) startHostListReader(ctx context.Context) func() {
 	ended := make(chan struct{})
 	if a.config.HostList == nil {
 		close(ended)
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		defer close(ended)
-		a.readLists(ctx)
+		a.runHostListReader(ctx)
 	}()
 	return func() {
 		cancel()
@@ -30,47 +30,47 @@
 	}
 }
 
-func (a *Agent) readLists(ctx context.Context) {
+func (a *Agent) runHostListReader(ctx context.Context) {
 	failing := false
 	for ctx.Err() == nil {
-		if a.readsList() {
-			failing = a.readList(ctx, failing)
+		if a.readsHostList() {
+			failing = a.readHostList(ctx, failing)
 		}
-		pause := listInterval(len(a.View().Hosts))
-		jitter := time.Duration(rand.Int64N(int64(pause) / 4))
+		interval := hostListInterval(len(a.View().Hosts))
+		jitter := time.Duration(rand.Int64N(int64(interval) / 4))
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause - jitter):
+		case <-time.After(interval - jitter):
 		}
 	}
 }
 
-// readsList: a few hosts of each availability zone read the list, so that the
-// calls to the platform do not grow with the fleet; a host that knows no
-// peers reads it as well, to find some.
-func (a *Agent) readsList() bool {
+// readsHostList reports whether this host reads the list: a few hosts of each
+// availability zone do, so that the load on the platform does not grow with the
+// fleet, and hosts that have not joined, to find peers.
+func (a *Agent) readsHostList() bool {
 	view := a.View()
 	self, _ := view.Find(view.Self)
-	return !a.Joined() || slices.Contains(view.Watchers(self.Zone, listWatchers), view.Self)
+	return !a.Joined() || slices.Contains(view.Watchers(self.Zone, hostListReaders), view.Self)
 }
 
-func listInterval(hosts int) time.Duration {
-	return max(listEvery, time.Duration(hosts)*listPerHost)
+func hostListInterval(hosts int) time.Duration {
+	return max(minHostListInterval, time.Duration(hosts)*hostListIntervalPerHost)
 }
 
-func (a *Agent) readList(ctx context.Context, failing bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+func (a *Agent) readHostList(ctx context.Context, failing bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, hostListTimeout)
 	defer cancel()
 	rows, err := a.config.HostList.Hosts(ctx, metastore.KindEntry)
 	if err != nil {
 		if !failing {
-			a.config.Logger.Warn("the platform's host list can't be read", zap.Error(err))
+			a.config.Logger.Warn("failed to read the platform's host list", zap.Error(err))
 		}
 		return true
 	}
 	if failing {
-		a.config.Logger.Info("the platform's host list can be read again")
+		a.config.Logger.Info("reading the platform's host list succeeds again")
 	}
-	a.post(func(now time.Time, m *Membership) { m.HostList(now, rows) })
+	a.post(func(now time.Time, m *Membership) { m.ApplyHostList(now, rows) })
 	return false
 }
--- a/member/membership.go
+++ b/member/membership.go
@@ -10,104 +10,104 @@
 	"github.com/goldcrestspan/goldcrestspan/member/memberpb"
 )
 
-// Membership is the membership as one host knows it, and the decisions on it. It is
-// pure: time and randomness are passed in, calls to make come back from Tick.
+// Membership is one host's view of the members and its failure detector. It does no
+// I/O: time and randomness are passed in, and Tick returns the calls to make.
 // It is not safe for concurrent use.
 type Membership struct {
-	config    Config
-	rng       *rand.Rand
-	startedAt time.Time
-	turnAt    time.Time // of the last entry into the state
-
-	self    *record
-	records map[ident.HostID]*record
-	sorted  []*record // by ID, self included
-	suspect map[ident.HostID]*record
-	dead    []*record
-
-	joined   bool // a peer gave its whole view
-	join     join
-	departed bool // this host has said that it is gone
+	config      Config
+	rng         *rand.Rand
+	startedAt   time.Time
+	lastEntryAt time.Time // of the last call of an entry point; see detectPause
+
+	self     *record
+	records  map[ident.HostID]*record
+	sorted   []*record // by ID, self included
+	suspects map[ident.HostID]*record
+	dead     []*record
+
+	joined   bool // a peer has sent its complete view
+	joining  joinState
+	departed bool // this host has announced StateGone
 	replaced bool // another process runs under this ID
 
-	partners      []*record
-	turn          int // next partner to probe
-	sequence      uint64
-	probes        []*probe
-	nextProbe     time.Time
-	urgentProbe   *record // to be probed out of turn
-	nextReconnect time.Time
-	nextChores    time.Time
-	nextRotate    time.Time
-	peerHeardAt   time.Time
-
-	news         *queue
-	refresh      int       // next record to repeat to a peer
-	doubt        int       // next dead record to ask a peer about
-	corrections  []*record // of what the present request said
-	urgent       []*item
-	urgentConfig bool
-	pushAt       time.Time // zero: nothing urgent
-	fullUntil    time.Time // own addresses ride on each message until then
-	recentLoads  []*record
-	inForce      *memberpb.ConfigNews
-	backends     *recent[newsKey, *memberpb.BackendNews]
-	requests     *recent[newsKey, *memberpb.SuspectRequestNews]
-	received     Received
-
-	list hostList
-
-	view        *View
-	changed     bool // states, since the last View
-	loadChanged bool
-	counters    Counters
+	neighbors         []*record
+	neighborIndex     int // index of the next neighbor to probe
+	lastSequence      uint64
+	probes            []*probe
+	nextProbeAt       time.Time
+	priorityTarget    *record // probed before the next neighbor in turn
+	nextReconnectAt   time.Time
+	nextMaintenanceAt time.Time
+	nextRotationAt    time.Time
+	lastPeerContact   time.Time
+
+	broadcasts         *broadcastQueue
+	refreshIndex       int       // index of the next record to repeat for anti-entropy
+	deadIndex          int       // index of the next dead record to send for correction
+	corrections        []*record // newer than what the current request said
+	urgent             []*broadcast
+	urgentConfig       bool
+	pushAt             time.Time // zero: nothing urgent
+	sendAddressesUntil time.Time // each message carries the own addresses until then
+	recentLoads        []*record
+	announced          *memberpb.ConfigNews
+	seenBackends       *dedupCache[updateKey, *memberpb.BackendNews]
+	seenRequests       *dedupCache[updateKey, *memberpb.SuspectRequestNews]
+	received           ReceivedUpdates
+
+	hostList hostList
+
+	view          *View
+	statesChanged bool // a state changed since the last View
+	loadsChanged  bool
+	counters      Counters
 }
 
 // Counters are running totals since the start.
 type Counters struct {
 	Probes         uint64 // probes sent
-	ProbeFailures  uint64 // partners that stayed silent until the verdict
-	Suspicions     uint64 // suspicions raised here
+	ProbeFailures  uint64 // probes that timed out, indirect ones included
+	Suspicions     uint64 // suspicions raised by this host
 	Refutations    uint64 // suspicions of this host that it refuted
-	Deaths         uint64 // deaths learned or decided
-	FalseDeaths    uint64 // hosts believed dead whose same life was heard again
-	Pauses         uint64 // times this process was found to have been paused
-	LateReplies    uint64 // replies without a waiting probe
-	Reconnects     uint64 // tries to reach a lost or unknown host
-	BudgetDeferred uint64 // urgent pushes left out for lack of budget
+	Deaths         uint64 // deaths decided here or received
+	FalseDeaths    uint64 // dead hosts whose same incarnation came back
+	Pauses         uint64 // pauses of this process
+	LateReplies    uint64 // replies without a pending probe
+	Reconnects     uint64 // attempts to reach a dead or unknown host
+	BudgetDeferred uint64 // updates left out of a push by the byte budget
 }
 
-// New makes the membership of a host that starts at now.
+// New returns the membership of a host that starts at now.
 func New(config Config, now time.Time, rng *rand.Rand) *Membership {
 	config = config.withDefaults()
-	self := &record{Host: config.Self, bornAt: now}
+	self := &record{Host: config.Self, firstSeenAt: now}
 	self.State = StateAlive
 	m := &Membership{
-		config:     config,
-		rng:        rng,
-		startedAt:  now,
-		turnAt:     now,
-		self:       self,
-		records:    map[ident.HostID]*record{self.ID: self},
-		sorted:     []*record{self},
-		suspect:    make(map[ident.HostID]*record),
-		news:       newQueue(now),
-		backends:   newRecent[newsKey, *memberpb.BackendNews](newsKeep, newsLimit),
-		requests:   newRecent[newsKey, *memberpb.SuspectRequestNews](newsKeep, newsLimit),
-		nextProbe:  now,
-		nextRotate: now.Add(rotateEvery),
-		changed:    true,
+		config:         config,
+		rng:            rng,
+		startedAt:      now,
+		lastEntryAt:    now,
+		self:           self,
+		records:        map[ident.HostID]*record{self.ID: self},
+		sorted:         []*record{self},
+		suspects:       make(map[ident.HostID]*record),
+		broadcasts:     newBroadcastQueue(now),
+		seenBackends:   newDedupCache[updateKey, *memberpb.BackendNews](dedupTTL, dedupLimit),
+		seenRequests:   newDedupCache[updateKey, *memberpb.SuspectRequestNews](dedupTTL, dedupLimit),
+		nextProbeAt:    now,
+		nextRotationAt: now.Add(rotationInterval),
+		statesChanged:  true,
 	}
-	m.nextChores = now
-	m.nextReconnect = now
+	m.nextMaintenanceAt = now
+	m.nextReconnectAt = now
 	return m
 }
 
-// Incarnation is this host's life. It can rise until the host has joined, when
-// the fleet remembers a later life of a predecessor whose clock was ahead.
+// Incarnation is this host's incarnation. It can rise until the host has joined, if
+// the fleet knows a higher one of a predecessor whose clock was ahead.
 func (m *Membership) Incarnation() ident.Incarnation { return m.self.Incarnation }
 
-// Joined reports whether a peer has given its whole view.
+// Joined reports whether a peer has sent its complete view.
 func (m *Membership) Joined() bool { return m.joined }
 
 // Replaced reports whether another process runs under this host's ID.
@@ -116,174 +116,163 @@
 // Counters returns the running totals.
 func (m *Membership) Counters() Counters { return m.counters }
 
-// enter starts each turn of the state.
-//
-// The failure: a process is paused (10 s, 60 s) and resumes. All its timers
-// have run out meanwhile, and it would declare half the fleet dead for its own
-// absence. It shows as a gap between two turns, which otherwise are never
-// further apart than a probe's interval. The guard drops the probes in flight
-// without a verdict and gives every suspect its full time again.
-func (m *Membership) enter(now time.Time) {
-	gap := now.Sub(m.turnAt)
-	m.turnAt = now
-	if gap < pauseAfter {
+// detectPause is called by every entry point. After a pause of this process all
+// timers have expired, and live hosts would be declared dead: it discards the
+// pending probes and restarts the suspicion timeouts.
+func (m *Membership) detectPause(now time.Time) {
+	gap := now.Sub(m.lastEntryAt)
+	m.lastEntryAt = now
+	if gap < pauseThreshold {
 		return
 	}
 	m.counters.Pauses++
 	m.probes = m.probes[:0]
-	for _, r := range m.suspect {
-		r.suspectUntil = now.Add(m.suspicionTime())
-		r.checked = false
+	for _, r := range m.suspects {
+		r.suspectUntil = now.Add(m.suspicionTimeout())
+		r.finalProbeSent = false
 	}
 }
 
-func (m *Membership) suspicionTime() time.Duration {
-	return m.config.suspicionTime(len(m.records) - len(m.dead))
+func (m *Membership) suspicionTimeout() time.Duration {
+	return m.config.suspicionTimeout(len(m.records) - len(m.dead))
 }
 
-// isolated reports that nothing answers this host. It then doubts its own link
-// and decides no deaths: see expireSuspicions.
-func (m *Membership) isolated(now time.Time) bool {
-	heard := m.peerHeardAt
-	if heard.IsZero() {
-		heard = m.startedAt
+// isIsolated reports whether no peer has answered this host of late. It then
+// declares no host dead; see expireSuspicions.
+func (m *Membership) isIsolated(now time.Time) bool {
+	last := m.lastPeerContact
+	if last.IsZero() {
+		last = m.startedAt
 	}
-	return now.Sub(heard) > isolatedAfter
+	return now.Sub(last) > isolationTimeout
 }
 
-func (m *Membership) heardPeer(now time.Time) { m.peerHeardAt = now }
+func (m *Membership) notePeerContact(now time.Time) { m.lastPeerContact = now }
 
-// PeerHeardAt is when a peer last answered a call of this host; zero: never.
-func (m *Membership) PeerHeardAt() time.Time { return m.peerHeardAt }
+// LastPeerContact is when a peer last answered a call of this host; zero: never.
+func (m *Membership) LastPeerContact() time.Time { return m.lastPeerContact }
 
-// apply takes in news of a host, if it is newer than what is known.
-func (m *Membership) apply(now time.Time, news *memberpb.HostNews) {
-	if news == nil || news.Host == "" {
+// applyUpdate applies an update about a host if it is newer than the record.
+func (m *Membership) applyUpdate(now time.Time, update *memberpb.HostNews) {
+	if update == nil || update.Host == "" {
 		return
 	}
-	id := ident.HostID(news.Host)
+	id := ident.HostID(update.Host)
 	if id == m.self.ID {
-		m.applySelf(now, news)
+		m.applySelfUpdate(now, update)
 		return
 	}
-	version := newsVersion(news)
+	version := versionOf(update)
 	r := m.records[id]
 	if r == nil {
-		m.meet(now, news, version)
+		m.addHost(now, update, version)
 		return
 	}
 	if !version.newerThan(r.version()) {
-		m.noteOutdated(r, version)
+		m.queueCorrection(r, version)
 		return
 	}
-	newLife := version.incarnation != r.Incarnation
-	if newLife && !m.startLife(now, r, news) {
+	newIncarnation := version.incarnation != r.Incarnation
+	if newIncarnation && !m.startIncarnation(now, r, update) {
 		return
 	}
-	m.setVersion(now, r, version, newLife)
+	m.setVersion(now, r, version, newIncarnation)
 }
 
-// noteOutdated remembers that the sender is behind, for the answer.
-func (m *Membership) noteOutdated(r *record, version version) {
-	if r.version().newerThan(version) && len(m.corrections) < maxCorrections {
+// queueCorrection has the reply correct a sender whose update was outdated.
+func (m *Membership) queueCorrection(r *record, received version) {
+	if r.version().newerThan(received) && len(m.corrections) < maxCorrections {
 		m.corrections = append(m.corrections, r)
 	}
 }
 
-// meet adds a host. News without addresses is of no use for that, and a dead
-// stranger is none worth remembering.
-func (m *Membership) meet(now time.Time, news *memberpb.HostNews, version version) {
-	if news.PeerAddress == "" || version.state >= StateDead {
+// addHost adds a host that is not known yet. It ignores dead hosts and updates
+// without addresses.
+func (m *Membership) addHost(now time.Time, update *memberpb.HostNews, version version) {
+	if update.PeerAddress == "" || version.state >= StateDead {
 		return
 	}
-	r := &record{bornAt: now}
-	r.ID = ident.HostID(news.Host)
+	r := &record{firstSeenAt: now}
+	r.ID = ident.HostID(update.Host)
 	r.Incarnation = version.incarnation
-	r.takeAddresses(news)
+	r.resetIncarnation(update)
 	m.records[r.ID] = r
-	at, _ := slices.BinarySearchFunc(m.sorted, r, byID)
+	at, _ := slices.BinarySearchFunc(m.sorted, r, compareByID)
 	m.sorted = slices.Insert(m.sorted, at, r)
 	m.setVersion(now, r, version, true)
 }
 
-func byID(a, b *record) int { return strings.Compare(string(a.ID), string(b.ID)) }
+func compareByID(a, b *record) int { return strings.Compare(string(a.ID), string(b.ID)) }
 
-// startLife turns the record to a later life of the host. Until its addresses
-// are known the earlier life stays.
-func (m *Membership) startLife(now time.Time, r *record, news *memberpb.HostNews) bool {
-	if news.PeerAddress == "" {
+// startIncarnation moves the record to a higher incarnation. It keeps the earlier
+// one and returns false while the addresses of the new one are unknown.
+func (m *Membership) startIncarnation(now time.Time, r *record, update *memberpb.HostNews) bool {
+	if update.PeerAddress == "" {
 		return false
 	}
-	r.takeAddresses(news)
-	r.Incarnation = ident.Incarnation(news.Incarnation)
-	r.bornAt = now
+	r.resetIncarnation(update)
+	r.Incarnation = ident.Incarnation(update.Incarnation)
+	r.firstSeenAt = now
 	return true
 }
 
-// setVersion moves the record to a state and passes the news on.
-func (m *Membership) setVersion(now time.Time, r *record, version version, newLife bool) {
+// setVersion moves the record to a state and gossips the change.
+func (m *Membership) setVersion(now time.Time, r *record, v version, newIncarnation bool) {
 	previous := r.State
-	r.refutation = version.refutation
-	r.State = version.state
-	m.changed = true
-	m.leaveState(r, previous, newLife)
-	it := m.spread(r)
-	switch version.state {
+	r.refutation = v.refutation
+	r.State = v.state
+	m.statesChanged = true
+	m.exitState(r, previous, newIncarnation)
+	b := m.enqueueHost(r)
+	switch v.state {
 	case StateAlive:
 		if previous == StateSuspect {
-			m.hurry(now, it)
+			m.pushSoon(now, b)
 		}
 	case StateSuspect:
-		m.suspect[r.ID] = r
-		r.checked = false
-		r.suspectUntil = now.Add(m.suspicionTime())
-		m.hurry(now, it)
+		m.suspects[r.ID] = r
+		r.finalProbeSent = false
+		r.suspectUntil = now.Add(m.suspicionTimeout())
+		m.pushSoon(now, b)
 	case StateLeaving:
-		m.hurry(now, it)
+		m.pushSoon(now, b)
 	case StateDead, StateGone:
-		if previous < StateDead || newLife {
-			m.bury(now, r)
+		if previous < StateDead || newIncarnation {
+			m.markDead(now, r)
 		}
 	}
 }
 
-func (m *Membership) bury(now time.Time, r *record) {
+func (m *Membership) markDead(now time.Time, r *record) {
 	m.counters.Deaths++
 	r.deadSince = now
 	if !slices.Contains(m.dead, r) {
 		m.dead = append(m.dead, r)
 	}
-	m.dropPartner(r)
+	m.removeNeighbor(r)
 }
 
-// leaveState undoes what the previous state set up.
-func (m *Membership) leaveState(r *record, previous State, newLife bool) {
-	delete(m.suspect, r.ID)
-	if previous < StateDead || r.lost() {
+// exitState undoes what the previous state set up.
+func (m *Membership) exitState(r *record, previous State, newIncarnation bool) {
+	delete(m.suspects, r.ID)
+	if previous < StateDead || r.isDead() {
 		return
 	}
 	if i := slices.Index(m.dead, r); i >= 0 {
 		m.dead = slices.Delete(m.dead, i, i+1)
 	}
-	if !newLife {
+	if !newIncarnation {
 		m.counters.FalseDeaths++
 	}
 }
 
-// applySelf takes in what others say of this host.
-//
-// The failure: a host that was paused or cut off is believed suspect or dead
-// and would never be used again. The host alone may raise its refutation
-// counter, so its word is newer than any suspicion of this life.
-//
-// News of a later life means that another process took the name over. Before
-// this host has joined that is a predecessor whose clock was ahead, so this
-// life moves past it. Afterwards this process is the old one, resumed from a
-// pause: it must not fight, and takes no more part.
-func (m *Membership) applySelf(now time.Time, news *memberpb.HostNews) {
-	version := newsVersion(news)
+// applySelfUpdate refutes a suspicion or death of this host, which only the host
+// itself can do by raising its refutation counter. An update with a higher
+// incarnation comes from another process with this ID; see handleSuccessor.
+func (m *Membership) applySelfUpdate(now time.Time, update *memberpb.HostNews) {
+	version := versionOf(update)
 	if version.incarnation > m.self.Incarnation {
-		m.meetSuccessor(now, version.incarnation)
+		m.handleSuccessor(now, version.incarnation)
 		return
 	}
 	if version.incarnation < m.self.Incarnation || m.departed || m.replaced {
@@ -294,38 +283,41 @@
 	}
 	m.counters.Refutations++
 	m.self.refutation = version.refutation + 1
-	m.hurry(now, m.spread(m.self))
+	m.pushSoon(now, m.enqueueHost(m.self))
 }
 
-func (m *Membership) meetSuccessor(now time.Time, other ident.Incarnation) {
-	m.changed = true
+// handleSuccessor handles a higher incarnation of this host's ID. Before joining it
+// belongs to a predecessor whose clock was ahead, so this host takes a still higher
+// one. Afterwards this process has been replaced and stops taking part.
+func (m *Membership) handleSuccessor(now time.Time, other ident.Incarnation) {
+	m.statesChanged = true
 	if m.joined {
 		m.replaced = true
 		return
 	}
-	m.self.Incarnation = laterThan(other, m.rng.Uint64())
+	m.self.Incarnation = incarnationAfter(other, m.rng.Uint64())
 	m.self.refutation = 0
-	m.self.bornAt = now
-	m.spread(m.self)
+	m.self.firstSeenAt = now
+	m.enqueueHost(m.self)
 }
 
-// laterThan makes an incarnation above other whose low 22 bits are random, as
-// in ident.NewIncarnation.
-func laterThan(other ident.Incarnation, random uint64) ident.Incarnation {
+// incarnationAfter returns an incarnation above other whose low 22 bits are random,
+// as in ident.NewIncarnation.
+func incarnationAfter(other ident.Incarnation, random uint64) ident.Incarnation {
 	const randomBits = 22
-	upper := uint64(other)>>randomBits + 1
-	return ident.Incarnation(upper<<randomBits | random&(1<<randomBits-1))
+	next := uint64(other)>>randomBits + 1
+	return ident.Incarnation(next<<randomBits | random&(1<<randomBits-1))
 }
 
-// Leave announces a planned stop: others give this host no new work.
+// Leave announces a planned stop: other hosts send this one no new work.
 func (m *Membership) Leave(now time.Time) {
-	m.enter(now)
+	m.detectPause(now)
 	m.announceSelf(now, StateLeaving)
 }
 
-// Depart announces that this host is gone; it takes no further part.
+// Depart announces that this host is gone. It answers no peers afterwards.
 func (m *Membership) Depart(now time.Time) {
-	m.enter(now)
+	m.detectPause(now)
 	m.departed = true
 	m.announceSelf(now, StateGone)
 }
@@ -336,26 +328,26 @@
 	}
 	m.self.State = state
 	m.self.refutation++
-	m.changed = true
-	m.hurry(now, m.spread(m.self))
+	m.statesChanged = true
+	m.pushSoon(now, m.enqueueHost(m.self))
 }
 
-// SetLoad sets this host's own measure of its load, in thousandths.
+// SetLoad sets this host's load, in thousandths.
 func (m *Membership) SetLoad(permille uint32) {
 	if permille == m.self.LoadPermille {
 		return
 	}
 	m.self.LoadPermille = permille
 	m.self.loadSequence++
-	m.loadChanged = true
+	m.loadsChanged = true
 }
 
-// suspectsInOrder gives a fixed order, so that runs with one seed are equal.
-func (m *Membership) suspectsInOrder() []*record {
-	suspects := make([]*record, 0, len(m.suspect))
-	for _, r := range m.suspect {
+// sortedSuspects returns the suspects by ID, so that runs with one seed are reproducible.
+func (m *Membership) sortedSuspects() []*record {
+	suspects := make([]*record, 0, len(m.suspects))
+	for _, r := range m.suspects {
 		suspects = append(suspects, r)
 	}
-	slices.SortFunc(suspects, byID)
+	slices.SortFunc(suspects, compareByID)
 	return suspects
 }
--- a/member/metrics.go
+++ b/member/metrics.go
@@ -7,14 +7,14 @@
 
 const namespace = "goldcrestspan_member"
 
-// metrics are the counters of an Agent. Bytes are marshalled messages, without
+// metrics are the metrics of an Agent. Bytes are of marshalled messages, without
 // the framing of drpc, TLS and TCP.
 type metrics struct {
 	bytesSent     prometheus.Counter
 	bytesReceived prometheus.Counter
 	events        *prometheus.CounterVec
 	hosts         *prometheus.GaugeVec
-	last          map[string]uint64 // totals as last observed
+	lastTotals    map[string]uint64 // totals at the last observe
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -25,7 +25,7 @@
 		bytesReceived: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "received_bytes_total", Help: "Bytes of membership messages received.",
 		}),
-		last: make(map[string]uint64),
+		lastTotals: make(map[string]uint64),
 		events: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "events_total", Help: "What happened, by event.",
 		}, []string{"event"}),
@@ -61,8 +61,8 @@
 		"budget_deferred": c.BudgetDeferred,
 	}
 	for event, total := range totals {
-		m.events.WithLabelValues(event).Add(float64(total - m.last[event]))
-		m.last[event] = total
+		m.events.WithLabelValues(event).Add(float64(total - m.lastTotals[event]))
+		m.lastTotals[event] = total
 	}
 	var byState [StateGone + 1]int
 	for _, h := range view.Hosts {
--- a/member/probe.go
+++ b/member/probe.go
@@ -7,224 +7,219 @@
 	"github.com/goldcrestspan/goldcrestspan/member/memberpb"
 )
 
-// Call is one call for the shell to make. Exactly one request is set, and the
-// end of the call comes back through the Done method of the same name.
+// Call is a call for the Agent to make. Exactly one request is set, and the
+// result is passed to the Done method of the same name.
 type Call struct {
 	Address  string        // IP and port
 	Timeout  time.Duration // for the whole call
 	Probe    *memberpb.ProbeRequest
 	ProbeFor *memberpb.ProbeForRequest
-	Push     *memberpb.PushRequest // its end is of no interest
+	Push     *memberpb.PushRequest // has no Done method
 	Sync     *memberpb.SyncRequest
 }
 
 const (
-	// syncTimeout bounds reading a whole view, about 300 KB at 3,400 hosts.
+	// syncTimeout bounds reading a complete view, some 100 bytes a host.
 	syncTimeout = 5 * time.Second
-	// pushTimeout bounds an urgent push; the probes carry the news as well.
+	// pushTimeout bounds an urgent push; probes carry the same updates.
 	pushTimeout = time.Second
-	// syncsAtOnce is how many seeds a starting host asks at a time.
-	syncsAtOnce = 2
-	// secondAskAfter is how long the second probe waits before others are asked.
-	// With the first one and their time it is 2.1 s.
-	secondAskAfter = 1200 * time.Millisecond
-	// lastCheckBefore the end of its time a suspect is asked itself.
-	lastCheckBefore = 800 * time.Millisecond
-	// checksAtOnce bounds the probes in flight up to which suspects are asked.
-	checksAtOnce = 8
+	// maxConcurrentSyncs is how many hosts are asked for their view at a time.
+	maxConcurrentSyncs = 2
+	// retryDirectTimeout is the timeout of the direct probe in a retry.
+	retryDirectTimeout = 1200 * time.Millisecond
+	// finalProbeLead is how long before its timeout a suspect gets a final probe.
+	finalProbeLead = 800 * time.Millisecond
+	// maxProbesForFinal is the number of pending probes at which final probes are skipped.
+	maxProbesForFinal = 8
 )
 
-// probe is one probe whose answer is awaited.
+// probe is a pending probe.
 type probe struct {
-	target   *record // nil: a try to reconnect, without a verdict
-	life     ident.Incarnation
-	sequence uint64
-	askAt    time.Time // then others are asked to probe; zero: they were
-	endAt    time.Time // then the verdict is spoken
-	second   bool      // after a first one without an answer
+	target      *record // nil: a reconnect attempt, whose failure has no effect
+	incarnation ident.Incarnation
+	sequence    uint64
+	indirectAt  time.Time // when other hosts are asked to probe; zero: done or never
+	deadline    time.Time // when the probe has failed
+	isRetry     bool      // a retry after a probe that failed
 }
 
-// Tick does what is due at now and returns the calls to make.
+// Tick does what is due and returns the calls to make.
 func (m *Membership) Tick(now time.Time) []Call {
-	m.enter(now)
+	m.detectPause(now)
 	if m.replaced {
 		return nil
 	}
 	var calls []Call
-	calls = m.checkSuspects(now, calls)
+	calls = m.probeExpiringSuspects(now, calls)
 	m.expireSuspicions(now)
-	calls = m.followProbes(now, calls)
-	if !now.Before(m.nextProbe) {
-		m.nextProbe = now.Add(m.config.ProbeEvery)
-		calls = m.probeNext(now, calls)
+	calls = m.advanceProbes(now, calls)
+	if !now.Before(m.nextProbeAt) {
+		m.nextProbeAt = now.Add(m.config.ProbeInterval)
+		calls = m.probeNextNeighbor(now, calls)
 	}
 	if !m.pushAt.IsZero() && !now.Before(m.pushAt) {
-		calls = m.push(now, calls)
+		calls = m.pushUrgent(now, calls)
 	}
-	if !now.Before(m.nextReconnect) {
-		m.nextReconnect = now.Add(m.reconnectPause())
+	if !now.Before(m.nextReconnectAt) {
+		m.nextReconnectAt = now.Add(m.reconnectDelay())
 		calls = m.reconnect(now, calls)
 	}
-	if m.join.dueAgain(now, len(m.records)) {
-		calls = m.syncAnywhere(calls)
+	if m.joining.resyncDue(now, len(m.records)) {
+		calls = m.syncFromSeeds(calls)
 	}
-	if !now.Before(m.nextChores) {
-		m.nextChores = now.Add(choresEvery)
-		m.chores(now)
+	if !now.Before(m.nextMaintenanceAt) {
+		m.nextMaintenanceAt = now.Add(maintenanceInterval)
+		m.maintain(now)
 	}
 	return calls
 }
 
-// NextDue is when Tick has to be called next, at the latest.
+// NextDue is when Tick must be called next.
 func (m *Membership) NextDue() time.Time {
 	if m.replaced {
-		return m.turnAt.Add(m.config.ProbeEvery)
+		return m.lastEntryAt.Add(m.config.ProbeInterval)
 	}
-	due := m.nextProbe
-	sooner := func(at time.Time) {
+	due := m.nextProbeAt
+	include := func(at time.Time) {
 		if !at.IsZero() && at.Before(due) {
 			due = at
 		}
 	}
-	sooner(m.pushAt)
-	sooner(m.nextReconnect)
-	sooner(m.join.again)
-	sooner(m.nextChores)
+	include(m.pushAt)
+	include(m.nextReconnectAt)
+	include(m.joining.recheckAt)
+	include(m.nextMaintenanceAt)
 	for _, p := range m.probes {
-		sooner(p.askAt)
-		sooner(p.endAt)
+		include(p.indirectAt)
+		include(p.deadline)
 	}
-	for _, r := range m.suspect {
-		sooner(r.suspectUntil)
-		if !r.checked {
-			sooner(r.suspectUntil.Add(-lastCheckBefore))
+	for _, r := range m.suspects {
+		include(r.suspectUntil)
+		if !r.finalProbeSent {
+			include(r.suspectUntil.Add(-finalProbeLead))
 		}
 	}
 	return due
 }
 
-// awaitReconnect remembers a try to reconnect, so that its answer counts.
-func (m *Membership) awaitReconnect(now time.Time) {
+// trackReconnect adds a pending probe for a reconnect attempt, so that its reply
+// counts as contact with a peer.
+func (m *Membership) trackReconnect(now time.Time) {
 	m.counters.Reconnects++
-	m.sequence++
-	m.probes = append(m.probes, &probe{sequence: m.sequence, endAt: now.Add(m.config.VerdictAfter)})
+	m.lastSequence++
+	m.probes = append(m.probes, &probe{sequence: m.lastSequence, deadline: now.Add(m.config.ProbeTimeout)})
 }
 
-func (m *Membership) probeNext(now time.Time, calls []Call) []Call {
-	target := m.nextPartner()
+func (m *Membership) probeNextNeighbor(now time.Time, calls []Call) []Call {
+	target := m.nextProbeTarget()
 	if target == nil {
 		return calls
 	}
 	m.counters.Probes++
-	m.sequence++
+	m.lastSequence++
 	m.probes = append(m.probes, &probe{
-		target:   target,
-		life:     target.Incarnation,
-		sequence: m.sequence,
-		askAt:    now.Add(m.config.DirectTimeout),
-		endAt:    now.Add(m.config.VerdictAfter),
+		target:      target,
+		incarnation: target.Incarnation,
+		sequence:    m.lastSequence,
+		indirectAt:  now.Add(m.config.DirectProbeTimeout),
+		deadline:    now.Add(m.config.ProbeTimeout),
 	})
-	return append(calls, m.probeCall(now, target, m.sequence))
+	return append(calls, m.probeCall(now, target, m.lastSequence))
 }
 
 func (m *Membership) probeCall(now time.Time, target *record, sequence uint64) Call {
 	return Call{
 		Address: target.PeerAddress,
-		Timeout: m.config.VerdictAfter,
+		Timeout: m.config.ProbeTimeout,
 		Probe: &memberpb.ProbeRequest{
-			Sender:   m.sender(now),
+			Sender:   m.senderUpdate(now),
 			To:       string(target.ID),
 			Sequence: sequence,
-			News:     m.newsFor(now, target.ID),
+			News:     m.gossipFor(now, target.ID),
 		},
 	}
 }
 
-// followProbes asks others about silent partners and speaks the verdicts.
-func (m *Membership) followProbes(now time.Time, calls []Call) []Call {
-	waiting := m.probes[:0]
+// advanceProbes starts the indirect probes that are due and ends failed probes.
+func (m *Membership) advanceProbes(now time.Time, calls []Call) []Call {
+	pending := m.probes[:0]
 	for _, p := range m.probes {
-		if !p.askAt.IsZero() && !now.Before(p.askAt) {
-			p.askAt = time.Time{}
-			calls = m.askOthers(now, p, calls)
+		if !p.indirectAt.IsZero() && !now.Before(p.indirectAt) {
+			p.indirectAt = time.Time{}
+			calls = m.probeIndirectly(now, p, calls)
 		}
-		if now.Before(p.endAt) {
-			waiting = append(waiting, p)
+		if now.Before(p.deadline) {
+			pending = append(pending, p)
 			continue
 		}
-		if m.deservesSecond(p) {
-			second := m.secondProbe(now, p)
-			waiting = append(waiting, second)
-			calls = append(calls, m.secondCall(now, second))
+		if m.needsRetry(p) {
+			retry := m.retryProbe(now, p)
+			pending = append(pending, retry)
+			calls = append(calls, m.retryCall(now, retry))
 			continue
 		}
-		m.verdict(now, p)
+		m.probeFailed(now, p)
 	}
-	clear(m.probes[len(waiting):])
-	m.probes = waiting
+	clear(m.probes[len(pending):])
+	m.probes = pending
 	return calls
 }
 
-// deservesSecond: in a fleet above smallFleet a silent host is probed once
-// more, for longer, before it is suspected.
-//
-// The failure: suspicions and their refutations go to every host, so their
-// number grows with the fleet, and each host's budget of news does not. With 200
-// hosts, 2% loss and 5% of the hosts paused for 2 s there were 7 suspicions a
-// second, refutations came late for want of budget, and live hosts were
-// declared dead 1,035 times in an hour. A pause of 2 s is over before the
-// second probe ends, so it raises no suspicion. A small fleet, where a death
-// has to be known sooner, has few enough suspicions.
-func (m *Membership) deservesSecond(p *probe) bool {
-	return p.target != nil && !p.second && p.target.State == StateAlive &&
-		p.target.Incarnation == p.life && len(m.records)-len(m.dead) > smallFleet
+// needsRetry reports whether a failed probe is repeated with a longer timeout before
+// the host is suspected. In a large fleet short pauses of hosts would otherwise raise
+// more suspicions than the gossip budget can refute in time; a small fleet has few,
+// and must detect a death sooner.
+func (m *Membership) needsRetry(p *probe) bool {
+	return p.target != nil && !p.isRetry && p.target.State == StateAlive &&
+		p.target.Incarnation == p.incarnation && len(m.records)-len(m.dead) > smallFleetSize
 }
 
-func (m *Membership) secondProbe(now time.Time, first *probe) *probe {
-	m.sequence++
+func (m *Membership) retryProbe(now time.Time, first *probe) *probe {
+	m.lastSequence++
 	return &probe{
-		target:   first.target,
-		life:     first.life,
-		sequence: m.sequence,
-		askAt:    now.Add(secondAskAfter),
-		endAt:    now.Add(secondAskAfter + m.config.VerdictAfter - m.config.DirectTimeout),
-		second:   true,
+		target:      first.target,
+		incarnation: first.incarnation,
+		sequence:    m.lastSequence,
+		indirectAt:  now.Add(retryDirectTimeout),
+		deadline:    now.Add(retryDirectTimeout + m.config.ProbeTimeout - m.config.DirectProbeTimeout),
+		isRetry:     true,
 	}
 }
 
-func (m *Membership) secondCall(now time.Time, p *probe) Call {
+func (m *Membership) retryCall(now time.Time, p *probe) Call {
 	call := m.probeCall(now, p.target, p.sequence)
-	call.Timeout = p.endAt.Sub(now)
+	call.Timeout = p.deadline.Sub(now)
 	return call
 }
 
-// askOthers has the target probed from elsewhere: a lost message or a broken
-// link between two hosts is no reason to suspect either.
-func (m *Membership) askOthers(now time.Time, p *probe, calls []Call) []Call {
-	for _, helper := range m.pickPartners(indirectCount, p.target) {
+// probeIndirectly asks neighbors to probe the target, so that a lost message or a
+// broken link between two hosts raises no suspicion.
+func (m *Membership) probeIndirectly(now time.Time, p *probe, calls []Call) []Call {
+	for _, helper := range m.randomNeighbors(indirectProbeCount, p.target) {
 		calls = append(calls, Call{
 			Address: helper.PeerAddress,
-			Timeout: m.config.VerdictAfter - m.config.DirectTimeout,
+			Timeout: m.config.ProbeTimeout - m.config.DirectProbeTimeout,
 			ProbeFor: &memberpb.ProbeForRequest{
-				Sender:        m.sender(now),
+				Sender:        m.senderUpdate(now),
 				Sequence:      p.sequence,
 				Target:        string(p.target.ID),
 				TargetAddress: p.target.PeerAddress,
-				News:          m.configOnly(),
+				News:          m.configGossip(),
 			},
 		})
 	}
 	return calls
 }
 
-// verdict ends a probe that nobody got an answer to.
-func (m *Membership) verdict(now time.Time, p *probe) {
+// probeFailed suspects the target of a probe that got no reply. A leaving host is
+// taken for gone.
+func (m *Membership) probeFailed(now time.Time, p *probe) {
 	r := p.target
 	if r == nil {
-		return // a try to reconnect
+		return // a reconnect attempt
 	}
 	m.counters.ProbeFailures++
-	if r.Incarnation != p.life {
+	if r.Incarnation != p.incarnation {
 		return
 	}
 	switch r.State {
@@ -237,119 +232,112 @@
 	}
 }
 
-// checkSuspects asks a suspect itself once more, before its time runs out.
-//
-// The failure: a host refutes, and by bad luck none of the messages that carry
-// the refutation reaches this host, which alone declares it dead: once in an
-// hour at 50 hosts with 2% loss and 5% of the hosts paused. The check carries
-// the suspicion, so its answer carries the refutation. The number of checks at
-// one time is bounded: when many hosts are suspected, they are not all wrong.
-func (m *Membership) checkSuspects(now time.Time, calls []Call) []Call {
-	if len(m.suspect) == 0 {
+// probeExpiringSuspects probes each suspect once more shortly before its timeout, in
+// case its refutation was lost on the way here. The probe reports the suspicion, so the
+// reply carries the refutation.
+func (m *Membership) probeExpiringSuspects(now time.Time, calls []Call) []Call {
+	if len(m.suspects) == 0 {
 		return calls
 	}
-	for _, r := range m.suspectsInOrder() {
-		if r.checked || now.Before(r.suspectUntil.Add(-lastCheckBefore)) {
+	for _, r := range m.sortedSuspects() {
+		if r.finalProbeSent || now.Before(r.suspectUntil.Add(-finalProbeLead)) {
 			continue
 		}
-		r.checked = true
-		if len(m.probes) >= checksAtOnce {
+		r.finalProbeSent = true
+		if len(m.probes) >= maxProbesForFinal {
 			continue
 		}
-		m.sequence++
+		m.lastSequence++
 		m.probes = append(m.probes, &probe{
-			target:   r,
-			life:     r.Incarnation,
-			sequence: m.sequence,
-			endAt:    now.Add(m.config.VerdictAfter),
+			target:      r,
+			incarnation: r.Incarnation,
+			sequence:    m.lastSequence,
+			deadline:    now.Add(m.config.ProbeTimeout),
 		})
-		calls = append(calls, m.probeCall(now, r, m.sequence))
+		calls = append(calls, m.probeCall(now, r, m.lastSequence))
 	}
 	return calls
 }
 
-// expireSuspicions turns suspicions that nobody refuted into deaths.
-//
-// The failure: this host's own link breaks, and to it everyone looks dead. It
-// shows as silence from every peer at once. While that lasts a death is decided
-// only if the platform's host list agrees; else the suspects get their full
-// time again once a peer is heard.
+// expireSuspicions declares suspects dead whose timeout has passed. While this host
+// is isolated, which makes every peer look dead, it does so only if the platform's
+// host list confirms the death, and restarts the timeout otherwise.
 func (m *Membership) expireSuspicions(now time.Time) {
-	if len(m.suspect) == 0 {
+	if len(m.suspects) == 0 {
 		return
 	}
-	isolated := m.isolated(now)
-	for _, r := range m.suspectsInOrder() {
+	isolated := m.isIsolated(now)
+	for _, r := range m.sortedSuspects() {
 		if now.Before(r.suspectUntil) {
 			continue
 		}
-		if isolated && !m.list.confirmsLoss(now, r, m.config.ListFreshFor) {
-			r.suspectUntil = now.Add(m.suspicionTime())
+		if isolated && !m.hostList.confirmsDeath(now, r, m.config.HostListMaxAge) {
+			r.suspectUntil = now.Add(m.suspicionTimeout())
 			continue
 		}
 		m.setVersion(now, r, version{r.Incarnation, r.refutation, StateDead}, false)
 	}
 }
 
-// ProbeDone takes the end of a probe; a nil reply means that none came.
+// ProbeDone handles the result of a probe; a nil reply means that it failed.
 func (m *Membership) ProbeDone(now time.Time, sequence uint64, reply *memberpb.ProbeReply) {
-	m.enter(now)
+	m.detectPause(now)
 	if reply == nil {
-		m.hastenAsking(now, sequence)
+		m.hastenIndirect(now, sequence)
 		return
 	}
-	m.absorb(now, reply.Sender, reply.News)
-	m.answerWant(now, reply.WantAddresses)
+	m.merge(now, reply.Sender, reply.News)
+	m.sendAddressesIfWanted(now, reply.WantAddresses)
 	if reply.Sequence != sequence {
 		m.counters.LateReplies++
 		return
 	}
-	m.answered(now, sequence, reply.Sender)
+	m.completeProbe(now, sequence, reply.Sender)
 }
 
-// answered ends the probe if the answer is from the life that was probed. A
-// late duplicate finds no probe and proves nothing.
-func (m *Membership) answered(now time.Time, sequence uint64, sender *memberpb.HostNews) {
+// completeProbe ends the probe if the reply is from the incarnation that was probed.
+func (m *Membership) completeProbe(now time.Time, sequence uint64, sender *memberpb.HostNews) {
 	i := m.findProbe(sequence)
 	if i < 0 {
 		m.counters.LateReplies++
 		return
 	}
-	m.heardPeer(now)
+	m.notePeerContact(now)
 	p := m.probes[i]
-	if p.target != nil && !isLife(sender, p.target.ID, p.life) {
+	if p.target != nil && !isFromIncarnation(sender, p.target.ID, p.incarnation) {
 		return
 	}
-	m.dropProbe(i)
+	m.removeProbe(i)
 }
 
-func isLife(sender *memberpb.HostNews, id ident.HostID, life ident.Incarnation) bool {
-	return sender.GetHost() == string(id) && sender.GetIncarnation() >= uint64(life)
+func isFromIncarnation(sender *memberpb.HostNews, id ident.HostID, incarnation ident.Incarnation) bool {
+	return sender.GetHost() == string(id) && sender.GetIncarnation() >= uint64(incarnation)
 }
 
-// hastenAsking does not wait for the timeout of a probe that failed at once.
-func (m *Membership) hastenAsking(now time.Time, sequence uint64) {
+// hastenIndirect starts the indirect probes at once when the direct probe fails
+// before its timeout.
+func (m *Membership) hastenIndirect(now time.Time, sequence uint64) {
 	i := m.findProbe(sequence)
-	if i >= 0 && !m.probes[i].second && !m.probes[i].askAt.IsZero() && now.Before(m.probes[i].askAt) {
-		m.probes[i].askAt = now
+	if i >= 0 && !m.probes[i].isRetry && !m.probes[i].indirectAt.IsZero() && now.Before(m.probes[i].indirectAt) {
+		m.probes[i].indirectAt = now
 	}
 }
 
-// ProbeForDone takes the end of an indirect probe; nil means that none came.
+// ProbeForDone handles the result of an indirect probe; a nil reply means that it failed.
 func (m *Membership) ProbeForDone(now time.Time, sequence uint64, reply *memberpb.ProbeForReply) {
-	m.enter(now)
+	m.detectPause(now)
 	if reply == nil {
 		return
 	}
-	m.absorb(now, reply.Sender, reply.News)
+	m.merge(now, reply.Sender, reply.News)
 	i := m.findProbe(sequence)
 	if i < 0 || reply.Sequence != sequence {
 		m.counters.LateReplies++
 		return
 	}
-	m.heardPeer(now)
+	m.notePeerContact(now)
 	if reply.Reached {
-		m.dropProbe(i)
+		m.removeProbe(i)
 	}
 }
 
@@ -362,20 +350,19 @@
 	return -1
 }
 
-func (m *Membership) dropProbe(i int) {
+func (m *Membership) removeProbe(i int) {
 	m.probes = append(m.probes[:i], m.probes[i+1:]...)
 }
 
-// ReportUnreachable is the word of traffic that a host did not answer: it is
-// probed next, out of turn.
+// ReportUnreachable has a host that did not answer traffic probed next.
 func (m *Membership) ReportUnreachable(now time.Time, id ident.HostID) {
-	m.enter(now)
+	m.detectPause(now)
 	r := m.records[id]
-	if r == nil || r == m.self || r.lost() {
+	if r == nil || r == m.self || r.isDead() {
 		return
 	}
-	m.urgentProbe = r
-	if soon := now.Add(m.config.ProbeEvery / 4); soon.Before(m.nextProbe) {
-		m.nextProbe = soon
+	m.priorityTarget = r
+	if probeAt := now.Add(m.config.ProbeInterval / 4); probeAt.Before(m.nextProbeAt) {
+		m.nextProbeAt = probeAt
 	}
 }
--- a/member/publish.go
+++ b/member/publish.go
@@ -1,50 +1,50 @@
 package member
 
-// View returns the membership to publish. It is built anew only when something
-// changed since the last.
+// View returns the view to publish. It is rebuilt only if something changed since
+// the last call.
 func (m *Membership) View() *View {
-	if m.view != nil && !m.changed && !m.loadChanged && m.view.PeerHeardAt.Equal(m.peerHeardAt) {
+	if m.view != nil && !m.statesChanged && !m.loadsChanged && m.view.LastPeerContact.Equal(m.lastPeerContact) {
 		return m.view
 	}
-	m.changed = false
-	m.loadChanged = false
-	minority, hold := m.minority()
+	m.statesChanged = false
+	m.loadsChanged = false
+	minority, holdDead := m.minority()
 	hosts := make([]Host, len(m.sorted))
 	for i, r := range m.sorted {
 		hosts[i] = r.Host
-		hosts[i].State = m.published(r, hold)
+		hosts[i].State = m.publishedState(r, holdDead)
 	}
 	m.view = &View{
-		Self:        m.self.ID,
-		Hosts:       hosts,
-		PeerHeardAt: m.peerHeardAt,
-		Minority:    minority,
-		Replaced:    m.replaced,
+		Self:            m.self.ID,
+		Hosts:           hosts,
+		LastPeerContact: m.lastPeerContact,
+		Minority:        minority,
+		Replaced:        m.replaced,
 	}
 	return m.view
 }
 
-// StateChanged reports that more than loads and times changed since the last
-// View.
-func (m *Membership) StateChanged() bool { return m.changed }
+// StateChanged reports whether more than loads and times changed since the last View.
+func (m *Membership) StateChanged() bool { return m.statesChanged }
 
-// published is the state that traffic sees; see hostList for the rule.
-func (m *Membership) published(r *record, hold bool) State {
+// publishedState is the state of a host in the View. With holdDead, unconfirmed dead
+// hosts of the own region are published as suspects.
+func (m *Membership) publishedState(r *record, holdDead bool) State {
 	if r == m.self && m.replaced {
 		return StateLeaving
 	}
-	if hold && r.State == StateDead && r.Region == m.self.Region {
+	if holdDead && r.State == StateDead && r.Region == m.self.Region {
 		return StateSuspect
 	}
 	return min(r.State, StateDead)
 }
 
-// minority reports that half of the own region or more is lost to the probes
-// and that nothing but the probes says so. Hold counts suspects as well: when
-// many hosts are lost at once the first deaths would be shown before the last
-// made it half, and hosts would leave the views only to come back.
-func (m *Membership) minority() (minority, hold bool) {
-	total, lost, suspect := 0, 0, 0
+// minority reports whether half of the own region's hosts or more are dead without
+// confirmation by the host list. holdDead counts suspects too, so that when many hosts
+// are lost at once the first deaths are not published before half is reached: a
+// fault of this host's network would otherwise empty the view.
+func (m *Membership) minority() (minority, holdDead bool) {
+	total, dead, suspect := 0, 0, 0
 	for _, r := range m.sorted {
 		if r.Region != m.self.Region {
 			continue
@@ -54,11 +54,11 @@
 		}
 		switch r.State {
 		case StateDead:
-			lost++
+			dead++
 		case StateSuspect:
 			suspect++
 		case StateAlive, StateLeaving, StateGone:
 		}
 	}
-	return 2*lost >= total, 2*(lost+suspect) >= total
+	return 2*dead >= total, 2*(dead+suspect) >= total
 }
--- a/member/record.go
+++ b/member/record.go
@@ -7,26 +7,26 @@
 	"github.com/goldcrestspan/goldcrestspan/member/memberpb"
 )
 
-// record is what the local host knows of one host, itself included.
+// record is the local host's state of one member, itself included.
 type record struct {
 	Host
 	refutation   uint32
 	loadSequence uint32
-	// suspectUntil is when an unrefuted suspicion becomes a death.
-	suspectUntil time.Time
-	checked      bool // the suspect was asked itself
-	deadSince    time.Time
-	// bornAt is when this life became known here.
-	bornAt  time.Time
-	partner bool
+	// suspectUntil is when an unrefuted suspect is declared dead.
+	suspectUntil   time.Time
+	finalProbeSent bool // a final probe was sent before suspectUntil
+	deadSince      time.Time
+	// firstSeenAt is when this incarnation was first seen here.
+	firstSeenAt time.Time
+	isNeighbor  bool
 }
 
-// youngFor is how long news of a host carries its addresses: the time in which
-// some receivers may not know the life yet.
-const youngFor = 30 * time.Second
+// addressGossipPeriod is how long updates about a new incarnation carry its
+// addresses, because some receivers may not know it yet.
+const addressGossipPeriod = 30 * time.Second
 
-// version orders news of one host: a later life wins, then the later word of
-// the host itself, then the graver state.
+// version orders updates about one host: the higher incarnation wins, then the
+// higher refutation, then the higher state.
 type version struct {
 	incarnation ident.Incarnation
 	refutation  uint32
@@ -43,22 +43,22 @@
 	return v.state > other.state
 }
 
-// lost reports that the host is believed dead, by whatever source.
-func (r *record) lost() bool { return r.State >= StateDead }
+// isDead reports whether the host is dead, confirmed or not.
+func (r *record) isDead() bool { return r.State >= StateDead }
 
 func (r *record) version() version {
 	return version{incarnation: r.Incarnation, refutation: r.refutation, state: r.State}
 }
 
-func newsVersion(news *memberpb.HostNews) version {
+func versionOf(update *memberpb.HostNews) version {
 	return version{
-		incarnation: ident.Incarnation(news.Incarnation),
-		refutation:  news.Refutation,
-		state:       stateFromWire(news.State),
+		incarnation: ident.Incarnation(update.Incarnation),
+		refutation:  update.Refutation,
+		state:       stateFromWire(update.State),
 	}
 }
 
-// stateFromWire reads an unknown state of a newer release as a suspicion,
+// stateFromWire maps an unknown state, sent by a newer release, to StateSuspect,
 // which the host itself can refute.
 func stateFromWire(state memberpb.State) State {
 	switch state {
@@ -83,8 +83,8 @@
 	StateGone:    memberpb.State_GONE,
 }
 
-// brief is the host's news for receivers who have its addresses.
-func (r *record) brief() *memberpb.HostNews {
+// stateUpdate is the host's update without addresses, for receivers that have them.
+func (r *record) stateUpdate() *memberpb.HostNews {
 	return &memberpb.HostNews{
 		Host:        string(r.ID),
 		Incarnation: uint64(r.Incarnation),
@@ -93,26 +93,26 @@
 	}
 }
 
-// full is the host's news with its addresses.
-func (r *record) full() *memberpb.HostNews {
-	news := r.brief()
-	news.PeerAddress = r.PeerAddress
-	news.CallerAddress = r.CallerAddress
-	news.Region = r.Region
-	news.Zone = r.Zone
-	news.Capacity = r.Capacity
-	return news
+// fullUpdate is the host's update with its addresses.
+func (r *record) fullUpdate() *memberpb.HostNews {
+	update := r.stateUpdate()
+	update.PeerAddress = r.PeerAddress
+	update.CallerAddress = r.CallerAddress
+	update.Region = r.Region
+	update.Zone = r.Zone
+	update.Capacity = r.Capacity
+	return update
 }
 
-// news is full while the life is young, since some receivers lack its addresses.
-func (r *record) news(now time.Time) *memberpb.HostNews {
-	if !r.lost() && now.Sub(r.bornAt) < youngFor {
-		return r.full()
+// update is the full update during addressGossipPeriod and the short one afterwards.
+func (r *record) update(now time.Time) *memberpb.HostNews {
+	if !r.isDead() && now.Sub(r.firstSeenAt) < addressGossipPeriod {
+		return r.fullUpdate()
 	}
-	return r.brief()
+	return r.stateUpdate()
 }
 
-func (r *record) load() *memberpb.LoadNews {
+func (r *record) loadUpdate() *memberpb.LoadNews {
 	return &memberpb.LoadNews{
 		Host:         string(r.ID),
 		Life:         uint32(r.Incarnation),
@@ -121,13 +121,13 @@
 	}
 }
 
-// takeAddresses starts the record's knowledge of a life.
-func (r *record) takeAddresses(news *memberpb.HostNews) {
-	r.PeerAddress = news.PeerAddress
-	r.CallerAddress = news.CallerAddress
-	r.Region = news.Region
-	r.Zone = news.Zone
-	r.Capacity = news.Capacity
+// resetIncarnation sets the addresses of a new incarnation and clears its load.
+func (r *record) resetIncarnation(update *memberpb.HostNews) {
+	r.PeerAddress = update.PeerAddress
+	r.CallerAddress = update.CallerAddress
+	r.Region = update.Region
+	r.Zone = update.Zone
+	r.Capacity = update.Capacity
 	r.LoadPermille = 0
 	r.loadSequence = 0
 }
--- a/member/serve.go
+++ b/member/serve.go
@@ -7,35 +7,35 @@
 	"github.com/goldcrestspan/goldcrestspan/member/memberpb"
 )
 
-// ServeProbe answers a probe. It returns nil when the probe is meant for
-// another host that had this address, or when this process was replaced.
+// ServeProbe answers a probe. It returns nil if the probe is meant for another host
+// that had this address, or if this process has departed or was replaced.
 func (m *Membership) ServeProbe(now time.Time, request *memberpb.ProbeRequest) *memberpb.ProbeReply {
-	m.enter(now)
-	if !m.serves(request.To) {
+	m.detectPause(now)
+	if !m.accepts(request.To) {
 		return nil
 	}
-	want := m.lacks(request.Sender)
+	lacksAddresses := m.lacksAddresses(request.Sender)
 	m.corrections = m.corrections[:0]
-	m.absorb(now, request.Sender, request.News)
+	m.merge(now, request.Sender, request.News)
 	reply := &memberpb.ProbeReply{
-		Sender:        m.sender(now),
+		Sender:        m.senderUpdate(now),
 		Sequence:      request.Sequence,
-		WantAddresses: want,
-		News:          m.newsFor(now, ident.HostID(request.Sender.GetHost())),
+		WantAddresses: lacksAddresses,
+		News:          m.gossipFor(now, ident.HostID(request.Sender.GetHost())),
 	}
 	m.addCorrections(now, reply.News)
 	if request.WantAddresses {
-		reply.Sender = m.self.full()
+		reply.Sender = m.self.fullUpdate()
 	}
 	return reply
 }
 
-func (m *Membership) serves(to string) bool {
-	return !m.replaced && !m.departed && (to == "" || to == string(m.self.ID))
+func (m *Membership) accepts(target string) bool {
+	return !m.replaced && !m.departed && (target == "" || target == string(m.self.ID))
 }
 
-// lacks reports that the sender's life is not known here.
-func (m *Membership) lacks(sender *memberpb.HostNews) bool {
+// lacksAddresses reports whether the addresses of the sender's incarnation are unknown.
+func (m *Membership) lacksAddresses(sender *memberpb.HostNews) bool {
 	if sender.GetPeerAddress() != "" || sender.GetHost() == string(m.self.ID) {
 		return false
 	}
@@ -43,77 +43,77 @@
 	return r == nil || uint64(r.Incarnation) < sender.GetIncarnation()
 }
 
-// RelayProbe makes the probe that another host asked for, to be sent to the
-// request's target address. It returns nil when this process was replaced.
+// RelayProbe returns the probe that a peer asked for, to be sent to the request's
+// target address. It returns nil if this process has departed or was replaced.
 func (m *Membership) RelayProbe(now time.Time, request *memberpb.ProbeForRequest) *memberpb.ProbeRequest {
-	m.enter(now)
-	if !m.serves("") {
+	m.detectPause(now)
+	if !m.accepts("") {
 		return nil
 	}
-	m.absorb(now, request.Sender, request.News)
+	m.merge(now, request.Sender, request.News)
 	return &memberpb.ProbeRequest{
-		Sender: m.sender(now),
+		Sender: m.senderUpdate(now),
 		To:     request.Target,
-		News:   m.newsFor(now, ident.HostID(request.Target)),
+		News:   m.gossipFor(now, ident.HostID(request.Target)),
 	}
 }
 
-// RelayDone makes the answer to the host that asked; a nil reply means that
-// the target gave none.
+// RelayDone returns the answer to the peer that asked; a nil reply means that the
+// target did not answer.
 func (m *Membership) RelayDone(now time.Time, request *memberpb.ProbeForRequest, reply *memberpb.ProbeReply) *memberpb.ProbeForReply {
-	m.enter(now)
+	m.detectPause(now)
 	answer := &memberpb.ProbeForReply{
-		Sender:   m.sender(now),
+		Sender:   m.senderUpdate(now),
 		Sequence: request.Sequence,
-		News:     m.configOnly(),
+		News:     m.configGossip(),
 	}
 	if reply == nil {
 		return answer
 	}
-	m.absorb(now, reply.Sender, reply.News)
-	m.heardPeer(now)
+	m.merge(now, reply.Sender, reply.News)
+	m.notePeerContact(now)
 	answer.Reached = reply.Sender.GetHost() == request.Target
 	answer.News.Hosts = append(answer.News.Hosts, reply.Sender)
 	return answer
 }
 
-// ServePush takes in urgent news.
+// ServePush applies urgent updates.
 func (m *Membership) ServePush(now time.Time, request *memberpb.PushRequest) *memberpb.PushReply {
-	m.enter(now)
-	if !m.serves("") {
+	m.detectPause(now)
+	if !m.accepts("") {
 		return nil
 	}
-	m.absorb(now, request.Sender, request.News)
+	m.merge(now, request.Sender, request.News)
 	return &memberpb.PushReply{}
 }
 
-// ServeSync answers with the whole view and the recent news of other kinds.
+// ServeSync answers with the complete view and the recent updates of other kinds.
 func (m *Membership) ServeSync(now time.Time, request *memberpb.SyncRequest) *memberpb.SyncReply {
-	m.enter(now)
-	if !m.serves("") {
+	m.detectPause(now)
+	if !m.accepts("") {
 		return nil
 	}
-	m.absorb(now, request.Sender, nil)
-	news := m.configOnly()
+	m.merge(now, request.Sender, nil)
+	gossip := m.configGossip()
 	for _, r := range m.sorted {
-		news.Hosts = append(news.Hosts, r.full())
+		gossip.Hosts = append(gossip.Hosts, r.fullUpdate())
 	}
-	m.backends.each(func(b *memberpb.BackendNews) { news.Backends = append(news.Backends, b) })
-	m.requests.each(func(q *memberpb.SuspectRequestNews) { news.Suspects = append(news.Suspects, q) })
-	return &memberpb.SyncReply{Sender: m.self.full(), News: news}
+	m.seenBackends.each(func(backend *memberpb.BackendNews) { gossip.Backends = append(gossip.Backends, backend) })
+	m.seenRequests.each(func(suspect *memberpb.SuspectRequestNews) { gossip.Suspects = append(gossip.Suspects, suspect) })
+	return &memberpb.SyncReply{Sender: m.self.fullUpdate(), News: gossip}
 }
 
-// SyncDone takes the end of a sync; a nil reply means that none came.
+// SyncDone handles the result of a sync; a nil reply means that it failed.
 func (m *Membership) SyncDone(now time.Time, reply *memberpb.SyncReply) {
-	m.enter(now)
+	m.detectPause(now)
 	if reply == nil || reply.Sender.GetHost() == string(m.self.ID) {
 		return
 	}
-	m.heardPeer(now)
-	m.absorb(now, reply.Sender, reply.News)
+	m.notePeerContact(now)
+	m.merge(now, reply.Sender, reply.News)
 	if !m.joined {
-		m.join.enter(now, len(m.records))
+		m.joining.begin(now, len(m.records))
 	}
 	m.joined = true
-	m.fillPartners()
+	m.fillNeighbors()
 }
--- a/member/view.go
+++ b/member/view.go
@@ -1,8 +1,8 @@
-// Package member owns the membership of entry hosts: who is there, which life
-// of each host, and how much load it carries. It costs each host the same
-// whatever the fleet's size. Membership is the pure logic; Agent runs it over drpc.
+// Package member is the gossip membership of entry hosts: which hosts exist, their
+// incarnation, state and load. The cost per host does not grow with the fleet.
+// Membership is the logic without I/O; Agent runs it over drpc.
 //
-// No safety property leans on two hosts having the same View.
+// No safety property depends on two hosts having the same View.
 package member
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/goldcrestspan/goldcrestspan/ident"
 )
 
-// State is what the local host believes of another.
+// State is the state of an entry host as the local host knows it.
 type State uint8
 
-// The states of an entry host, in the order in which news of one incarnation
-// and refutation overrides older news.
+// The states of an entry host. Within one incarnation and refutation a higher
+// state overrides a lower one.
 const (
 	StateAlive State = iota
 	StateSuspect
 	StateLeaving
 	StateDead
-	// StateGone: dead, and not by the word of probes alone: the host said so
-	// itself, or the platform's host list agrees. A View shows it as StateDead.
+	// StateGone is a confirmed death: the host announced it, or the platform's host
+	// list agrees. A View shows it as StateDead.
 	StateGone
 )
 
@@ -36,7 +36,7 @@
 // String is the state's name in logs, metrics and status.
 func (s State) String() string { return stateNames[s] }
 
-// Host is one entry host in a View.
+// Host is an entry host in a View.
 type Host struct {
 	ID            ident.HostID
 	Incarnation   ident.Incarnation
@@ -45,26 +45,25 @@
 	Region        string
 	Zone          string // availability zone; its name is unique across regions
 	State         State
-	// Capacity is what the host can carry, in thousandths of a core; 0: not said.
+	// Capacity is the host's capacity in thousandths of a core; 0: unknown.
 	Capacity uint32
-	// LoadPermille is the host's own measure of its load, in thousandths.
+	// LoadPermille is the load that the host reports, in thousandths.
 	LoadPermille uint32
 }
 
-// Serving reports whether the host takes new work: a suspect still does,
-// since most suspicions are refuted.
+// Serving reports whether the host gets new work. A suspect does, since most
+// suspicions are refuted.
 func (h Host) Serving() bool { return h.State == StateAlive || h.State == StateSuspect }
 
-// View is the membership at one moment. It is immutable: the control goroutine
-// publishes a new one through an atomic pointer, traffic goroutines read it.
+// View is an immutable snapshot of the membership.
 type View struct {
 	Self ident.HostID
-	// Hosts are sorted by ID and hold the local host.
+	// Hosts are sorted by ID and include the local host.
 	Hosts []Host
-	// PeerHeardAt is when a peer last answered; zero: never.
-	PeerHeardAt time.Time
-	// Minority reports that half or more of the own region's hosts were lost
-	// without the platform's host list confirming it; see CutOff.
+	// LastPeerContact is when a peer last answered; zero: never.
+	LastPeerContact time.Time
+	// Minority reports that half of the own region's hosts or more are dead without
+	// confirmation by the platform's host list; see CutOff.
 	Minority bool
 	// Replaced reports that another process runs under this host's ID.
 	Replaced bool
@@ -86,11 +85,10 @@
 	return slices.Contains(v.Watchers(zone, n), v.Self)
 }
 
-// Watchers returns the at most n serving hosts of the availability zone that
-// watch the platform's store for the others. Rendezvous hashing keeps the
-// choice stable: one host that comes or goes changes at most one watcher.
-// While hosts disagree on the members a zone has a few watchers more or
-// less, which costs the platform some calls and no promise.
+// Watchers returns at most n serving hosts of the availability zone that watch the
+// platform's store for the others. Rendezvous hashing keeps the choice stable: a
+// host that joins or leaves changes at most one watcher. Hosts with different views
+// may choose different watchers, which only adds or saves calls to the platform.
 func (v *View) Watchers(zone string, n int) []ident.HostID {
 	var candidates []string
 	for i := range v.Hosts {
@@ -101,9 +99,9 @@
 	var chosen []ident.HostID
 	for len(chosen) < n && len(candidates) > 0 {
 		ring := rendezvous.New(candidates, xxhash.Sum64String)
-		winner := ring.Lookup(zone)
-		chosen = append(chosen, ident.HostID(winner))
-		candidates = slices.DeleteFunc(candidates, func(id string) bool { return id == winner })
+		watcher := ring.Lookup(zone)
+		chosen = append(chosen, ident.HostID(watcher))
+		candidates = slices.DeleteFunc(candidates, func(id string) bool { return id == watcher })
 	}
 	return chosen
 }
