--- a/metastore/client.go
+++ b/metastore/client.go
@@ -21,36 +21,34 @@
 	"github.com/goldcrestspan/goldcrestspan/internal/wait"
 )
 
-// Defaults of ClientOptions. The platform takes several hundred writes and
-// about 2,000 reads a second from the whole fleet. Seven hosts that all run
-// into their own limit stay at 1,400 reads and 140 writes; larger fleets reach
-// the store through few watchers, and no host comes near its limit.
+// Defaults and limits of a Client. With the default rates a small fleet stays below the
+// platform's limits of several hundred writes and about 2,000 reads a second; in a
+// large one few hosts call the store.
 const (
 	defaultTimeout         = 2 * time.Second
 	defaultReadsPerSecond  = 200
 	defaultWritesPerSecond = 20
 	defaultWatchWait       = 2 * time.Second
-	// firstReadShare is the part of Timeout that the first try of a read gets.
-	firstReadShare  = 4
-	firstBackoff    = 20 * time.Millisecond
-	maxBackoff      = time.Second
-	maxReplyBytes   = 64 << 20
-	maxDiscardBytes = 4 << 10
+	// The first attempt of a read gets Timeout/firstAttemptShare.
+	firstAttemptShare = 4
+	firstBackoff      = 20 * time.Millisecond
+	maxBackoff        = time.Second
+	maxReplyBytes     = 64 << 20
+	maxDiscardBytes   = 4 << 10
 )
 
-// ClientOptions shape a Client; zero values read as the defaults.
+// ClientOptions configure a Client; zero values take the defaults.
 type ClientOptions struct {
-	// Timeout bounds one call with its retries; default 2 s.
+	// Timeout bounds a call including its retries; default 2 s.
 	Timeout time.Duration
-	// ReadsPerSecond and WritesPerSecond bound this host's calls; defaults 200
-	// and 20. A waiting watch is one read.
+	// ReadsPerSecond and WritesPerSecond limit this host's calls; defaults 200
+	// and 20. A waiting watch counts as one read.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// WatchWait is how long one watch call may wait; default 2 s: a watch on a
-	// connection that went silent is late by that and Timeout/4, under the 4 s
-	// in which configuration has to be in force, for half a read a second.
+	// WatchWait is how long one watch call may wait; default 2 s. A watch on a dead
+	// connection delays changes by WatchWait and Timeout/4.
 	WatchWait time.Duration
-	// TLS is for a platform that speaks TLS; nil: plain text.
+	// TLS is nil for plain text.
 	TLS *tls.Config
 }
 
@@ -70,7 +68,7 @@
 	return o
 }
 
-// Client is the HTTP client of the platform: Store and HostList.
+// Client is the platform's HTTP client. It implements Store and HostList.
 type Client struct {
 	options   ClientOptions
 	addresses []string
@@ -78,8 +76,8 @@
 	transport *http.Transport
 	reads     *rate.Limiter
 	writes    *rate.Limiter
-	// preferred is the place of the address that answered last.
-	preferred atomic.Uint64
+	// preferredIndex is the index of the address to call, modulo their number.
+	preferredIndex atomic.Uint64
 }
 
 var (
@@ -87,8 +85,8 @@
 	_ HostList = (*Client)(nil)
 )
 
-// NewClient makes a client of the platform at the addresses, IP and port each.
-// At least one is needed.
+// NewClient returns a client of the platform at the addresses, IP and port each.
+// At least one is required.
 func NewClient(addresses []string, options ClientOptions) *Client {
 	options = options.withDefaults()
 	scheme := "http"
@@ -111,12 +109,12 @@
 	}
 }
 
-// newLimiter allows bursts of one second's worth.
+// newLimiter returns a limiter with a burst of one second's calls.
 func newLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() error {
 	c.transport.CloseIdleConnections()
 	return nil
@@ -129,7 +127,7 @@
 	return object, errors.Wrapf(err, "get %s", key)
 }
 
-// ListStale implements Store; this object API knows one kind of list.
+// ListStale implements Store. The object API has no stale reads.
 func (c *Client) ListStale(ctx context.Context, prefix string) ([]Object, Revision, error) {
 	return c.List(ctx, prefix)
 }
@@ -148,13 +146,8 @@
 	return hosts, errors.Wrap(err, "host list")
 }
 
-// Watch implements Store. It asks again, in bounded waits, until something
-// changes or ctx ends.
-//
-// Failure: the connection of a waiting watch goes silent, and the host sits on
-// old configuration for as long as it believes that nothing changes. The guard
-// holds because each wait is short and its end without a reply is an error,
-// which drops the idle connections and asks again on a new one.
+// Watch implements Store by repeated watch calls of at most WatchWait each, so that a
+// dead connection is detected and replaced.
 func (c *Client) Watch(ctx context.Context, prefix string, after Revision) ([]Object, Revision, error) {
 	for {
 		reply, err := c.watchOnce(ctx, prefix, after)
@@ -182,56 +175,54 @@
 		ParamWait:   {wait.String()},
 	}
 	var reply WatchReply
-	err := c.readWithin(ctx, wait, call{method: http.MethodGet, path: PathWatch, query: query, into: &reply})
+	err := c.readWithWait(ctx, wait, operation{method: http.MethodGet, path: PathWatch, query: query, result: &reply})
 	return reply, err
 }
 
-func (c *Client) read(ctx context.Context, path string, query url.Values, into any) error {
-	return c.readWithin(ctx, 0, call{method: http.MethodGet, path: path, query: query, into: into})
+func (c *Client) read(ctx context.Context, path string, query url.Values, result any) error {
+	return c.readWithWait(ctx, 0, operation{method: http.MethodGet, path: path, query: query, result: result})
 }
 
-// readWithin reads within Timeout and the time that the platform is asked to
-// wait. The first try gets a part of it only: if its connection went silent,
-// there is time left for one on a new connection; if the store is slow, the
-// next try has more time than the first.
-func (c *Client) readWithin(ctx context.Context, wait time.Duration, call call) error {
-	patience := c.options.Timeout / firstReadShare
+// readWithWait reads within Timeout plus the time that the platform is asked to wait.
+// The first attempt gets only a part of Timeout, which leaves time for another one on a
+// new connection if the first one is dead.
+func (c *Client) readWithWait(ctx context.Context, wait time.Duration, op operation) error {
+	timeout := c.options.Timeout / firstAttemptShare
 	return c.retry(ctx, wait+c.options.Timeout, c.reads, func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, wait+patience)
+		ctx, cancel := context.WithTimeout(ctx, wait+timeout)
 		defer cancel()
-		patience = c.options.Timeout
-		return c.send(ctx, call)
+		timeout = c.options.Timeout
+		return c.send(ctx, op)
 	})
 }
 
 // Put implements Store.
-func (c *Client) Put(ctx context.Context, key string, value []byte, expect uint64) (Object, error) {
+func (c *Client) Put(ctx context.Context, key string, value []byte, expectedVersion uint64) (Object, error) {
 	if len(value) > MaxValueBytes {
 		return Object{}, errors.Wrapf(ErrTooLarge, "put %s", key)
 	}
-	query := url.Values{ParamKey: {key}, ParamExpect: {strconv.FormatUint(expect, 10)}}
+	query := url.Values{ParamKey: {key}, ParamExpect: {strconv.FormatUint(expectedVersion, 10)}}
 	var object Object
 	err := c.retry(ctx, c.options.Timeout, c.writes, func(ctx context.Context) error {
-		return c.send(ctx, call{method: http.MethodPut, path: PathObject, query: query, body: value, write: true, into: &object})
+		return c.send(ctx, operation{method: http.MethodPut, path: PathObject, query: query, body: value, write: true, result: &object})
 	})
 	return object, errors.Wrapf(err, "put %s", key)
 }
 
 // Delete implements Store.
-func (c *Client) Delete(ctx context.Context, key string, expect uint64) error {
-	query := url.Values{ParamKey: {key}, ParamExpect: {strconv.FormatUint(expect, 10)}}
+func (c *Client) Delete(ctx context.Context, key string, expectedVersion uint64) error {
+	query := url.Values{ParamKey: {key}, ParamExpect: {strconv.FormatUint(expectedVersion, 10)}}
 	err := c.retry(ctx, c.options.Timeout, c.writes, func(ctx context.Context) error {
-		return c.send(ctx, call{method: http.MethodDelete, path: PathObject, query: query, write: true})
+		return c.send(ctx, operation{method: http.MethodDelete, path: PathObject, query: query, write: true})
 	})
 	return errors.Wrapf(err, "delete %s", key)
 }
 
-// retry runs the call until it succeeds, fails for a reason that another try
-// can't mend, or the time is over. ErrAmbiguous is never tried again: a second
-// conditional write would meet the first one's effect and report a conflict
-// with a write that is the caller's own.
-func (c *Client) retry(ctx context.Context, within time.Duration, limit *rate.Limiter, try func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// retry repeats the call while it fails with ErrUnavailable and time remains.
+// ErrAmbiguous is not retried: a second conditional write could report a conflict with
+// the caller's own first write.
+func (c *Client) retry(ctx context.Context, timeout time.Duration, limiter *rate.Limiter, attempt func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	delays := &backoff.ExponentialBackOff{
 		InitialInterval:     firstBackoff,
@@ -241,22 +232,22 @@
 	}
 	delays.Reset()
 	for {
-		// The limiter refuses at once if the deadline comes before the turn.
-		if err := limit.Wait(ctx); err != nil {
-			return errors.Wrap(ErrUnavailable, "client's own rate limit or deadline")
+		// The limiter fails at once if the deadline is before the next free slot.
+		if err := limiter.Wait(ctx); err != nil {
+			return errors.Wrap(ErrUnavailable, "client-side rate limit or deadline")
 		}
-		err := try(ctx)
+		err := attempt(ctx)
 		if err == nil || !errors.Is(err, ErrUnavailable) {
 			return err
 		}
-		if !pause(ctx, delays.NextBackOff()) {
+		if !waitForRetry(ctx, delays.NextBackOff()) {
 			return err
 		}
 	}
 }
 
-// pause reports whether there is time for another try after the delay.
-func pause(ctx context.Context, delay time.Duration) bool {
+// waitForRetry waits for the delay and reports whether there is time for another attempt.
+func waitForRetry(ctx context.Context, delay time.Duration) bool {
 	deadline, ok := ctx.Deadline()
 	if ok && time.Until(deadline) <= delay {
 		return false
@@ -264,71 +255,71 @@
 	return wait.For(ctx, delay)
 }
 
-// call is one request to one address.
-type call struct {
+// operation is a request to the platform.
+type operation struct {
 	method string
 	path   string
 	query  url.Values
 	body   []byte
 	write  bool
-	into   any // decoded from the reply; nil: none
+	result any // destination of the decoded reply; nil: none
 }
 
-func (c *Client) send(ctx context.Context, call call) error {
-	place := c.preferred.Load()
-	err := c.sendTo(ctx, c.addresses[place%uint64(len(c.addresses))], call)
+func (c *Client) send(ctx context.Context, op operation) error {
+	index := c.preferredIndex.Load()
+	err := c.sendTo(ctx, c.addresses[index%uint64(len(c.addresses))], op)
 	if errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous) {
-		c.preferred.CompareAndSwap(place, place+1)
-		// Whatever silenced one connection may have silenced the idle ones too.
+		c.preferredIndex.CompareAndSwap(index, index+1)
+		// The idle connections may be dead for the same reason.
 		c.transport.CloseIdleConnections()
 	}
 	return err
 }
 
-// sendTo sends once. net/http sends a write again on its own only if no byte of
-// it was written, which it knows by count; it replays only methods that read.
-func (c *Client) sendTo(ctx context.Context, address string, call call) error {
+// sendTo sends the request once. net/http itself repeats a write only if none of it was
+// sent.
+func (c *Client) sendTo(ctx context.Context, address string, op operation) error {
 	var connected atomic.Bool
-	// Without a connection nothing was sent. With one, a write that fails may
-	// have been sent: net/http writes from a goroutine of its own, and can
-	// report the end of ctx while that goroutine is still about to write.
+	// Once there is a connection a failed write may have been sent: net/http writes in
+	// its own goroutine, and can return at the end of ctx before that goroutine writes.
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	target := url.URL{Scheme: c.scheme, Host: address, Path: call.path, RawQuery: call.query.Encode()}
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), call.method, target.String(), bytes.NewReader(call.body))
+	target := url.URL{Scheme: c.scheme, Host: address, Path: op.path, RawQuery: op.query.Encode()}
+	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), op.method, target.String(), bytes.NewReader(op.body))
 	if err != nil {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return lost(call.write && connected.Load(), err)
+		return replyError(op.write && connected.Load(), err)
 	}
 	defer response.Body.Close()
-	return receive(call, response)
+	return decodeReply(op, response)
 }
 
-// lost classifies a call without a usable reply. A read can be sent again; a
-// write may have taken effect once a byte of it was sent.
-func lost(sentWrite bool, cause error) error {
+// replyError classifies a call without a usable reply: ErrAmbiguous for a write that may
+// have been sent, ErrUnavailable otherwise.
+func replyError(sentWrite bool, cause error) error {
 	if sentWrite {
 		return errors.Wrap(ErrAmbiguous, cause.Error())
 	}
 	return errors.Wrap(ErrUnavailable, cause.Error())
 }
 
-func receive(call call, response *http.Response) error {
+// decodeReply decodes the reply or maps its status to an error.
+func decodeReply(op operation, response *http.Response) error {
 	if response.StatusCode/100 != 2 {
 		_, _ = io.CopyN(io.Discard, response.Body, maxDiscardBytes)
 		if err, known := statusErrors[response.StatusCode]; known {
 			return err
 		}
-		return lost(call.write, errors.Errorf("status %d", response.StatusCode))
+		return replyError(op.write, errors.Errorf("status %d", response.StatusCode))
 	}
-	if call.into == nil {
+	if op.result == nil {
 		return nil
 	}
-	err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(call.into)
+	err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(op.result)
 	if err != nil {
-		return lost(call.write, err)
+		return replyError(op.write, err)
 	}
 	return nil
 }
--- a/metastore/metastore.go
+++ b/metastore/metastore.go
@@ -1,6 +1,6 @@
-// Package metastore is the boundary to the users' platform: its object API with
-// versions, conditional updates and watches, and its lagging host list. The
-// platform is the only place where something lasts; entry hosts keep nothing.
+// Package metastore is the interface to the users' platform: its object API with
+// versions, conditional updates and watches, and its host list. The platform holds all
+// persistent state; entry hosts keep none.
 package metastore
 
 import (
@@ -9,62 +9,61 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the largest value the object API takes.
+// MaxValueBytes is the size limit of a value.
 const MaxValueBytes = 1 << 20
 
 // Errors of a Store. Test for them with errors.Is.
 var (
-	// ErrNotFound: the key holds no object.
+	// ErrNotFound means that there is no object with the key.
 	ErrNotFound = errors.New("metastore: object not found")
-	// ErrConflict: the object's version is not the one expected; nothing was written.
+	// ErrConflict means that the object's version is not the expected one; nothing was
+	// written.
 	ErrConflict = errors.New("metastore: version conflict")
-	// ErrUnavailable: the call surely had no effect (refused, or not sent).
+	// ErrUnavailable means that the call had no effect: it was refused or not sent.
 	ErrUnavailable = errors.New("metastore: store unavailable")
-	// ErrAmbiguous: a write was sent and its reply was lost. It may have taken
-	// effect; the writer must read back before it says anything.
+	// ErrAmbiguous means that the reply to a write was lost. The write may have taken
+	// effect; the writer must read the object to find out.
 	ErrAmbiguous = errors.New("metastore: write outcome unknown")
-	// ErrHistoryGone: the store no longer knows the changes after a revision, or was
-	// restored from a backup since.
+	// ErrHistoryGone means that the store no longer has the changes after a revision, or
+	// was restored from a backup since.
 	ErrHistoryGone = errors.New("metastore: history is gone")
-	// ErrTooLarge: the value is over MaxValueBytes; nothing was written.
+	// ErrTooLarge means that the value exceeds MaxValueBytes; nothing was written.
 	ErrTooLarge = errors.New("metastore: value too large")
 )
 
-// Object is one versioned value.
+// Object is a versioned value.
 type Object struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 	// Version changes with each write of the key; 0 means that it does not exist.
 	Version uint64 `json:"version"`
-	// Revision orders the writes of the whole store, see NewRevision; Watch continues
-	// from it.
+	// Revision orders the writes of the whole store. A Watch can continue from it.
 	Revision Revision `json:"revision"`
 }
 
 // Store is the platform's object API.
 type Store interface {
-	// Get reads one object; ErrNotFound when there is none.
+	// Get reads an object; ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes the value if the object's version is still expect; 0 creates
-	// only. It returns the new object without its value.
-	Put(ctx context.Context, key string, value []byte, expect uint64) (Object, error)
-	// Delete removes the object if its version is still expect.
-	Delete(ctx context.Context, key string, expect uint64) error
-	// List reads all objects below a prefix, in key order, and returns the
-	// store's revision at that moment, from which a Watch continues.
+	// Put writes the value if the object's version is the expected one; 0 only
+	// creates. It returns the new object without its value.
+	Put(ctx context.Context, key string, value []byte, expectedVersion uint64) (Object, error)
+	// Delete removes the object if its version is the expected one.
+	Delete(ctx context.Context, key string, expectedVersion uint64) error
+	// List reads all objects below a prefix, sorted by key, and returns the store's
+	// revision, from which a Watch continues.
 	List(ctx context.Context, prefix string) ([]Object, Revision, error)
-	// ListStale is List for a reader that can do with what was true seconds ago, and
-	// costs the platform less. A Watch continues from the revision that it returns.
+	// ListStale is a List that may be seconds old and costs the platform less. A Watch
+	// continues from the revision that it returns.
 	ListStale(ctx context.Context, prefix string) ([]Object, Revision, error)
 	// Watch waits until an object below the prefix has a revision above after,
 	// or ctx ends, and returns the changed objects and the revision to continue
-	// from; it may return none shortly before ctx ends. A deleted object has
-	// Version 0. ErrHistoryGone says that the store has forgotten what came
-	// after: List again. A waiting watch counts as one call to the platform.
+	// from; it may return no objects shortly before ctx ends. A deleted object has
+	// Version 0. After ErrHistoryGone the caller must List again.
 	Watch(ctx context.Context, prefix string, after Revision) ([]Object, Revision, error)
 }
 
-// HostKind tells what runs on a listed host.
+// HostKind is the kind of process on a listed host.
 type HostKind string
 
 // The kinds of listed hosts.
@@ -73,7 +72,7 @@
 	KindBackend HostKind = "backend"
 )
 
-// HostState is the host list's view of a host. It lags.
+// HostState is the state of a host on the host list, which lags.
 type HostState string
 
 // The states of listed hosts.
@@ -82,22 +81,22 @@
 	StateLeaving HostState = "leaving"
 )
 
-// ListedHost is one row of the platform's host list.
+// ListedHost is a row of the platform's host list.
 type ListedHost struct {
 	Name    string    `json:"name"`
 	Kind    HostKind  `json:"kind"`
-	Address string    `json:"address"` // IP and port; peers' listener for entry hosts
+	Address string    `json:"address"` // IP and port; of the peer listener for entry hosts
 	Region  string    `json:"region"`
 	Zone    string    `json:"zone"` // availability zone
 	State   HostState `json:"state"`
 	// Service is the backend server's service; empty for entry hosts.
 	Service string `json:"service,omitempty"`
-	// Incarnation tells one life of the host from the next at the same address.
+	// Incarnation distinguishes successive processes at the same address.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// HostList is the platform's list of live and leaving hosts. It lags and can
-// be empty or name dead hosts: it is advice beside what hosts hear themselves.
+// HostList is the platform's list of live and leaving hosts. It lags, and it may be
+// empty or name dead hosts, so it is no proof that a host is alive or dead.
 type HostList interface {
 	Hosts(ctx context.Context, kind HostKind) ([]ListedHost, error)
 }
--- a/metastore/revision_test.go
+++ b/metastore/revision_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a restored store whose first changes count as older than those it lost.
+// Guards against changes after a restore that are ordered before those from before it.
 func TestRevisionsOrderChangesAcrossRestores(t *testing.T) {
 	is := is.New(t)
 	before, err := NewRevision(1, 63)
@@ -19,7 +19,7 @@
 	is.Equal(after.String(), "2/50")
 }
 
-// Guards against a counter that spills into the era, which would look like a restore.
+// Guards against a counter that overflows into the era.
 func TestRevisionOutOfRangeIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := NewRevision(0, maxCounter+1)
--- a/metastore/wire.go
+++ b/metastore/wire.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// Paths of the object API and the host list over HTTP. Keys, prefixes and
-// versions are query parameters; values travel as the body.
+// Paths of the object API and the host list. Keys, prefixes and versions are query
+// parameters; values are request bodies.
 const (
 	PathObject = "/v1/object"
 	PathList   = "/v1/list"
@@ -21,15 +21,15 @@
 	ParamKind   = "kind"
 )
 
-// WatchReply is the body of a list, or of a watch that ended; there no objects
-// say that the wait is over.
+// WatchReply is the body of the reply to a list or a watch. A watch without objects
+// has timed out.
 type WatchReply struct {
 	Objects  []Object `json:"objects"`
 	Revision Revision `json:"revision"`
 }
 
-// statusErrors maps the API's statuses to errors. A status that is not listed
-// says nothing about whether a write took effect.
+// statusErrors maps status codes to errors. After any other status a write may have
+// taken effect.
 var statusErrors = map[int]error{
 	http.StatusNotFound:              ErrNotFound,
 	http.StatusConflict:              ErrConflict,
