--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,8 +1,7 @@
-// Package catalog owns what the platform says exists: the backend servers of
-// its host list and the published snapshots of its object API. A few hosts of
-// each availability zone, the watchers, read the platform; the others ask one
-// of them what has changed, so that the platform's load does not grow with the
-// number of hosts.
+// Package catalog replicates the platform's backend servers, from its host list, and
+// published snapshots, from its object API. A few hosts of each availability zone, the
+// watchers, read the platform; the others get changes from one of them, so that the
+// platform's load does not grow with the number of hosts.
 package catalog
 
 import (
@@ -22,147 +21,148 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// SnapshotPrefix is where index builders publish snapshots:
-// snapshots/<index>/<version>, the JSON of a snapshot.Snapshot.
+// SnapshotPrefix is the prefix of the keys of published snapshots,
+// snapshots/<index>/<version>. The value is the JSON of a snapshot.Snapshot.
 const SnapshotPrefix = "snapshots/"
 
-// hostsPrefix is where the log keeps the rows of the host list.
+// hostsPrefix is the prefix of the host list's rows in the log.
 const hostsPrefix = "hosts/"
 
 const (
-	// pollEvery is how often a watcher reads the host list.
-	pollEvery = 500 * time.Millisecond
-	// followEvery is how often the others ask a watcher. Together with
-	// pollEvery it keeps the news of a leaving server well under 3 s.
-	followEvery = time.Second
-	// callTimeout bounds one read of the platform, followTimeout one question
-	// to a watcher.
-	callTimeout   = 2 * time.Second
+	// pollInterval is the interval at which a watcher reads the host list.
+	pollInterval = 500 * time.Millisecond
+	// followInterval is the interval at which other hosts ask a watcher. With
+	// pollInterval it keeps the delay of a leaving server well under 3 s.
+	followInterval = time.Second
+	// callTimeout bounds a call to the platform.
+	callTimeout = 2 * time.Second
+	// followTimeout bounds a call to a watcher.
 	followTimeout = 500 * time.Millisecond
-	// watchFor bounds one waiting watch; then it is asked again.
-	watchFor = 20 * time.Second
-	// lostWatchers rounds without a watcher's reply make a host read the
-	// platform itself.
-	lostWatchers = 3
+	// watchTimeout bounds one watch.
+	watchTimeout = 20 * time.Second
+	// maxFailedRounds is the number of consecutive rounds without a reply by a watcher
+	// after which a host reads the platform itself.
+	maxFailedRounds = 3
 )
 
-// Sink takes what is new. Its methods are called from the agent's goroutines.
+// Sink receives the catalog after each change. Its methods are called from the agent's
+// goroutines.
 type Sink interface {
 	Servers(rows []metastore.ListedHost)
 	Snapshots(all []*snapshot.Snapshot)
 }
 
-// Peers connects to other entry hosts; *peer.Pool does.
+// Peers connects to other entry hosts, as *peer.Pool does.
 type Peers interface {
 	Conn(ctx context.Context, address string) drpc.Conn
 }
 
-// Config is what an Agent works with; every field is required.
+// Config configures an Agent; all fields are required.
 type Config struct {
 	Store metastore.Store
 	List  metastore.HostList
 	Sink  Sink
 	Peers Peers
-	// IsWatcher tells whether this host reads the platform for its zone.
+	// IsWatcher reports whether this host reads the platform for its zone.
 	IsWatcher func() bool
-	// Watchers are the peers' listeners of hosts to ask, best first.
+	// Watchers returns the peer addresses of watchers to ask, preferred ones first.
 	Watchers func() []string
 	// Epoch is this host's incarnation.
 	Epoch uint64
 	Log   *zap.Logger
 }
 
-// Agent keeps the catalogue of one host. When platform and watchers are gone
-// the last known servers and snapshots stay.
+// Agent keeps the catalog of one host up to date. While neither the platform nor a
+// watcher answers, it keeps the last known servers and snapshots.
 type Agent struct {
-	config  Config
-	heardAt atomic.Int64 // Unix nanoseconds of the platform's last word; 0: never
-	reached atomic.Bool
+	config          Config
+	lastContact     atomic.Int64 // Unix nanoseconds of the platform's last reply; 0: never
+	platformReached atomic.Bool
 
 	mu  sync.Mutex
 	log *Log
 
-	follow follower
+	follower follower
 }
 
-// NewAgent makes an agent; Run starts it.
+// NewAgent returns an agent; Run starts it.
 func NewAgent(config Config) *Agent {
 	return &Agent{config: config, log: NewLog(config.Epoch)}
 }
 
-// HeardAt is when the platform last replied, to this host or to the watcher
-// that it follows; zero: never.
+// HeardAt is when the platform last replied to this host or to the watcher that it
+// follows; zero: never.
 func (a *Agent) HeardAt() time.Time {
-	if ns := a.heardAt.Load(); ns != 0 {
-		return time.Unix(0, ns)
+	if unixNanos := a.lastContact.Load(); unixNanos != 0 {
+		return time.Unix(0, unixNanos)
 	}
 	return time.Time{}
 }
 
-// Run keeps the catalogue until ctx ends.
+// Run keeps the catalog up to date until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
 	go a.watchSnapshots(ctx)
 	for ctx.Err() == nil {
 		if a.readsPlatform() && a.readHosts(ctx) {
-			pause(ctx, pollEvery)
+			pause(ctx, pollInterval)
 			continue
 		}
 		a.followWatcher(ctx)
-		pause(ctx, followEvery)
+		pause(ctx, followInterval)
 	}
 	return nil
 }
 
-// readsPlatform: the watchers do, and hosts that have lost theirs.
+// readsPlatform reports whether this host reads the platform itself: watchers do, and
+// hosts that reach no watcher.
 func (a *Agent) readsPlatform() bool {
-	return a.config.IsWatcher() || a.follow.lost() || len(a.config.Watchers()) == 0
+	return a.config.IsWatcher() || a.follower.hasLostWatchers() || len(a.config.Watchers()) == 0
 }
 
-// readHosts reports whether the platform replied. If it did not, a peer may
-// know more: a host that starts in an outage knows nothing at all.
+// readHosts reads the host list and reports whether the platform replied.
 func (a *Agent) readHosts(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, err := a.config.List.Hosts(ctx, metastore.KindBackend)
-	a.note(err)
+	a.notePlatformReply(err)
 	if err != nil {
 		return false
 	}
 	next := make(map[string][]byte, len(rows))
 	for _, row := range rows {
-		raw, err := json.Marshal(row)
+		encoded, err := json.Marshal(row)
 		if err == nil {
-			next[hostsPrefix+row.Name] = raw
+			next[hostsPrefix+row.Name] = encoded
 		}
 	}
-	a.change(func(l *Log) bool { return l.Replace(hostsPrefix, next) })
+	a.update(func(l *Log) bool { return l.Replace(hostsPrefix, next) })
 	return true
 }
 
-// note logs only the change between reached and not reached.
-func (a *Agent) note(err error) {
+// notePlatformReply records whether a call reached the platform, and logs when that changes.
+func (a *Agent) notePlatformReply(err error) {
 	if err == nil {
-		a.heardAt.Store(time.Now().UnixNano())
+		a.lastContact.Store(time.Now().UnixNano())
 	}
-	if reached := err == nil; a.reached.Swap(reached) != reached {
-		a.config.Log.Info("platform reached changed", zap.Bool("reached", reached), zap.Error(err))
+	if reached := err == nil; a.platformReached.Swap(reached) != reached {
+		a.config.Log.Info("platform reachability changed", zap.Bool("reached", reached), zap.Error(err))
 	}
 }
 
-// change changes the log and hands on what is there now, if anything changed.
-func (a *Agent) change(change func(*Log) bool) {
+// update changes the log and passes the catalog to the sink if anything changed.
+func (a *Agent) update(apply func(*Log) bool) {
 	a.mu.Lock()
-	if !change(a.log) {
+	if !apply(a.log) {
 		a.mu.Unlock()
 		return
 	}
-	hosts, snapshots := a.log.Below(hostsPrefix), a.log.Below(SnapshotPrefix)
+	hosts, snapshots := a.log.Values(hostsPrefix), a.log.Values(SnapshotPrefix)
 	a.mu.Unlock()
 	a.config.Sink.Snapshots(decode[*snapshot.Snapshot](snapshots))
 	a.config.Sink.Servers(decode[metastore.ListedHost](hosts))
 }
 
-// decode leaves out what can't be read: one bad row must not hide the others.
+// decode skips values that can't be decoded, so that one bad row does not hide the others.
 func decode[T any](values [][]byte) []T {
 	all := make([]T, 0, len(values))
 	for _, value := range values {
@@ -179,20 +179,20 @@
 	for ctx.Err() == nil {
 		if !a.readsPlatform() {
 			revision = 0
-			pause(ctx, followEvery)
+			pause(ctx, followInterval)
 			continue
 		}
 		next, err := a.nextSnapshots(ctx, revision)
 		if err != nil {
-			pause(ctx, pollEvery)
+			pause(ctx, pollInterval)
 			continue
 		}
 		revision = next
 	}
 }
 
-// nextSnapshots lists all snapshots after each change. The list is small: an
-// index keeps a few versions.
+// nextSnapshots waits for a change after a revision and lists all snapshots. It returns
+// the revision to continue from; after revision 0 it lists at once.
 func (a *Agent) nextSnapshots(ctx context.Context, after metastore.Revision) (metastore.Revision, error) {
 	if after > 0 {
 		next, err := a.awaitChange(ctx, after)
@@ -204,7 +204,7 @@
 	read, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	objects, _, err := a.config.Store.List(read, SnapshotPrefix)
-	a.note(err)
+	a.notePlatformReply(err)
 	if err != nil {
 		return after, err
 	}
@@ -213,12 +213,12 @@
 		after = max(after, object.Revision)
 		next[object.Key] = object.Value
 	}
-	a.change(func(l *Log) bool { return l.Replace(SnapshotPrefix, next) })
+	a.update(func(l *Log) bool { return l.Replace(SnapshotPrefix, next) })
 	return max(after, 1), nil
 }
 
 func (a *Agent) awaitChange(ctx context.Context, after metastore.Revision) (metastore.Revision, error) {
-	watch, cancel := context.WithTimeout(ctx, watchFor)
+	watch, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	_, next, err := a.config.Store.Watch(watch, SnapshotPrefix, after)
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -227,8 +227,7 @@
 	return next, err
 }
 
-// pause waits for about d, so that hosts that lost the platform together do
-// not come back to it in step.
+// pause waits for d with jitter, so that hosts don't call the platform in step.
 func pause(ctx context.Context, d time.Duration) {
 	wait.For(ctx, d*3/4+rand.N(d/2))
 }
--- a/catalog/follow.go
+++ b/catalog/follow.go
@@ -11,21 +11,21 @@
 	"github.com/goldcrestspan/goldcrestspan/catalog/catalogpb"
 )
 
-// follower is where a host stands in the log of the watcher that it follows.
+// follower is a host's position in the log of the watcher that it follows.
 type follower struct {
 	address         string
 	epoch, sequence uint64
 	failures        atomic.Int32 // rounds in a row without a reply
 }
 
-// lost reports whether no watcher has replied for a while.
-func (f *follower) lost() bool { return f.failures.Load() >= lostWatchers }
+// hasLostWatchers reports whether no watcher has replied in the last rounds.
+func (f *follower) hasLostWatchers() bool { return f.failures.Load() >= maxFailedRounds }
 
-// followWatcher asks the watcher that replied last, or else the next one.
+// followWatcher gets changes from the watcher that replied last, or else from the next one.
 func (a *Agent) followWatcher(ctx context.Context) {
-	f := &a.follow
-	for _, address := range inOrder(a.config.Watchers(), f.address) {
-		if err := a.ask(ctx, address); err == nil {
+	f := &a.follower
+	for _, address := range preferredFirst(a.config.Watchers(), f.address) {
+		if err := a.fetchChanges(ctx, address); err == nil {
 			f.address = address
 			f.failures.Store(0)
 			return
@@ -34,8 +34,8 @@
 	f.failures.Add(1)
 }
 
-// inOrder puts the preferred address first, if it is still one of them.
-func inOrder(addresses []string, preferred string) []string {
+// preferredFirst moves the preferred address to the front if it is in the list.
+func preferredFirst(addresses []string, preferred string) []string {
 	ordered := make([]string, 0, len(addresses))
 	for _, address := range addresses {
 		if address == preferred {
@@ -50,90 +50,89 @@
 	return ordered
 }
 
-var errNeverHeard = errors.New("catalog: the watcher has never heard the platform")
+var errNeverReached = errors.New("catalog: the watcher has never reached the platform")
 
-// ask takes in what a watcher has that this host lacks. Pieces are applied
-// together: half a host list would read as lost servers.
-func (a *Agent) ask(ctx context.Context, address string) error {
-	f := &a.follow
+// fetchChanges gets and applies a watcher's changes. Pages are applied together, since
+// a partial host list would drop servers.
+func (a *Agent) fetchChanges(ctx context.Context, address string) error {
+	f := &a.follower
 	epoch, sequence := f.epoch, f.sequence
 	var all Changes
 	for {
-		reply, err := a.askPiece(ctx, address, epoch, sequence)
+		reply, err := a.fetchPage(ctx, address, epoch, sequence)
 		if err != nil {
 			return err
 		}
-		piece := changesOf(reply)
-		if piece.Whole {
-			all = Changes{Whole: true}
+		page := changesFromReply(reply)
+		if page.Complete {
+			all = Changes{Complete: true}
 		}
-		all.Items = append(all.Items, piece.Items...)
-		epoch, sequence = piece.Epoch, piece.Sequence
-		if piece.More {
+		all.Items = append(all.Items, page.Items...)
+		epoch, sequence = page.Epoch, page.Sequence
+		if page.More {
 			continue
 		}
-		a.change(func(l *Log) bool { return l.Apply(all) })
+		a.update(func(l *Log) bool { return l.Apply(all) })
 		f.epoch, f.sequence = epoch, sequence
-		a.noteHeard(time.Duration(reply.GetHeardAgoMs()) * time.Millisecond)
+		a.noteContact(time.Duration(reply.GetHeardAgoMs()) * time.Millisecond)
 		return nil
 	}
 }
 
-func (a *Agent) askPiece(ctx context.Context, address string, epoch, sequence uint64) (*catalogpb.ChangesReply, error) {
+func (a *Agent) fetchPage(ctx context.Context, address string, epoch, sequence uint64) (*catalogpb.ChangesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
 	client := catalogpb.NewDRPCCatalogClient(a.config.Peers.Conn(ctx, address))
 	reply, err := client.Changes(ctx, &catalogpb.ChangesRequest{Epoch: epoch, Sequence: sequence})
 	if err != nil {
-		return nil, errors.Wrap(err, "catalog: ask a watcher")
+		return nil, errors.Wrap(err, "catalog: get changes from a watcher")
 	}
 	if reply.GetHeardAgoMs() < 0 {
-		return nil, errNeverHeard
+		return nil, errNeverReached
 	}
 	return reply, nil
 }
 
-func (a *Agent) noteHeard(ago time.Duration) {
+func (a *Agent) noteContact(ago time.Duration) {
 	heard := time.Now().Add(-ago)
 	if heard.After(a.HeardAt()) {
-		a.heardAt.Store(heard.UnixNano())
+		a.lastContact.Store(heard.UnixNano())
 	}
 }
 
-func changesOf(reply *catalogpb.ChangesReply) Changes {
-	c := Changes{Epoch: reply.GetEpoch(), Sequence: reply.GetSequence(), Whole: reply.GetWhole(), More: reply.GetMore()}
+func changesFromReply(reply *catalogpb.ChangesReply) Changes {
+	c := Changes{Epoch: reply.GetEpoch(), Sequence: reply.GetSequence(), Complete: reply.GetWhole(), More: reply.GetMore()}
 	for _, item := range reply.GetItems() {
 		c.Items = append(c.Items, Item{Key: item.GetKey(), Value: item.GetValue()})
 	}
 	return c
 }
 
-// Register serves the catalogue to peers.
+// Register registers the catalog service for peers.
 func (a *Agent) Register(mux drpc.Mux) error {
-	return errors.Wrap(catalogpb.DRPCRegisterCatalog(mux, server{a}), "register the catalogue")
+	return errors.Wrap(catalogpb.DRPCRegisterCatalog(mux, server{a}), "register the catalog")
 }
 
 type server struct{ agent *Agent }
 
-// Changes implements the catalogue's service.
+// Changes implements catalogpb.DRPCCatalogServer.
 func (s server) Changes(_ context.Context, request *catalogpb.ChangesRequest) (*catalogpb.ChangesReply, error) {
 	a := s.agent
 	a.mu.Lock()
-	c := a.log.Since(request.GetEpoch(), request.GetSequence(), pieceBytes)
+	changes := a.log.ChangesSince(request.GetEpoch(), request.GetSequence(), pageBytes)
 	a.mu.Unlock()
-	reply := &catalogpb.ChangesReply{Epoch: c.Epoch, Sequence: c.Sequence, Whole: c.Whole, More: c.More, HeardAgoMs: neverHeard}
+	reply := &catalogpb.ChangesReply{Epoch: changes.Epoch, Sequence: changes.Sequence, Whole: changes.Complete, More: changes.More, HeardAgoMs: neverReached}
 	if heard := a.HeardAt(); !heard.IsZero() {
 		reply.HeardAgoMs = max(time.Since(heard).Milliseconds(), 0)
 	}
-	for _, item := range c.Items {
+	for _, item := range changes.Items {
 		reply.Items = append(reply.Items, &catalogpb.Item{Key: item.Key, Value: item.Value})
 	}
 	return reply, nil
 }
 
-// pieceBytes is about how large one reply is: well under drpc's message limit
-// of 4 MB, and 21,000 servers come in some 16 pieces.
-const pieceBytes = 256 << 10
+// pageBytes is the approximate size of a page, well below drpc's message limit of 4 MB.
+const pageBytes = 256 << 10
 
-// neverHeard stands in a reply's heard_ago_ms.
-const neverHeard = -1
+// neverReached is the heard_ago_ms of a watcher that the platform has never answered.
+const neverReached = -1
--- a/catalog/log.go
+++ b/catalog/log.go
@@ -5,22 +5,18 @@
 	"sort"
 )
 
-// maxGone bounds the removed keys that a Log remembers. A follower that is
-// further behind gets everything.
-const maxGone = 4096
-
-// Log holds the items of the catalogue and in which order they changed, so that
-// a follower gets only what it lacks. It is pure; its owner serialises calls.
-//
-// Load: 21,000 backend servers of which some restart each minute. Harm
-// prevented: the whole list is over a megabyte, and 3,400 hosts may spend 3 KB
-// a second on all control traffic.
+// maxRemovals bounds the removals that a Log keeps. A follower that is further behind gets
+// all items.
+const maxRemovals = 4096
+
+// Log holds the items of the catalog and the order of their changes, so that a follower
+// gets only the changes that it is missing. It is not safe for concurrent use.
 type Log struct {
-	epoch    uint64
-	sequence uint64
-	items    map[string]entry
-	gone     map[string]uint64 // sequence of the removal
-	forgot   uint64            // removals up to this sequence are forgotten
+	epoch       uint64
+	sequence    uint64
+	items       map[string]entry
+	removals    map[string]uint64 // sequences of removals
+	discardedTo uint64            // removals up to this sequence have been discarded
 }
 
 type entry struct {
@@ -28,21 +24,19 @@
 	sequence uint64
 }
 
-// NewLog makes an empty log. The epoch tells it from every other log: the
-// host's incarnation.
+// NewLog returns an empty log. The epoch, the host's incarnation, identifies the log.
 func NewLog(epoch uint64) *Log {
-	return &Log{epoch: epoch, items: make(map[string]entry), gone: make(map[string]uint64)}
+	return &Log{epoch: epoch, items: make(map[string]entry), removals: make(map[string]uint64)}
 }
 
-// Sequence numbers the last change; 0: none yet.
+// Sequence is the number of the last change; 0: none yet.
 func (l *Log) Sequence() uint64 { return l.sequence }
 
-// Replace makes the items below a prefix equal to next and reports whether
-// anything changed.
+// Replace sets the items below a prefix to next and reports whether anything changed.
 func (l *Log) Replace(prefix string, next map[string][]byte) bool {
 	before := l.sequence
 	for key := range l.items {
-		if _, stays := next[key]; !stays && hasPrefix(key, prefix) {
+		if _, kept := next[key]; !kept && hasPrefix(key, prefix) {
 			l.remove(key)
 		}
 	}
@@ -52,14 +46,14 @@
 	return l.sequence != before
 }
 
-// Apply takes in a reply's items and reports whether anything changed.
+// Apply applies a watcher's changes and reports whether anything changed.
 func (l *Log) Apply(changes Changes) bool {
-	if changes.Whole {
+	if changes.Complete {
 		next := make(map[string][]byte, len(changes.Items))
 		for _, item := range changes.Items {
 			next[item.Key] = item.Value
 			if len(item.Value) == 0 {
-				// Removed while the pieces were fetched.
+				// Removed between two pages.
 				delete(next, item.Key)
 			}
 		}
@@ -82,7 +76,7 @@
 	}
 	l.sequence++
 	l.items[key] = entry{value: value, sequence: l.sequence}
-	delete(l.gone, key)
+	delete(l.removals, key)
 }
 
 func (l *Log) remove(key string) {
@@ -91,77 +85,76 @@
 	}
 	l.sequence++
 	delete(l.items, key)
-	l.gone[key] = l.sequence
-	if len(l.gone) > maxGone {
-		l.forgot = l.sequence
-		clear(l.gone)
+	l.removals[key] = l.sequence
+	if len(l.removals) > maxRemovals {
+		l.discardedTo = l.sequence
+		clear(l.removals)
 	}
 }
 
-// Item is one row of the host list or one snapshot; an empty value: removed.
+// Item is a row of the host list or a snapshot; an empty value: removed.
 type Item struct {
 	Key   string
 	Value []byte
 }
 
-// Changes is what a follower lacks, or the first piece of it.
+// Changes is a page of the changes that a follower is missing.
 type Changes struct {
 	Epoch    uint64
-	Sequence uint64 // of the last item; the next piece continues from it
-	Whole    bool   // the follower drops what it had
-	More     bool   // there are more pieces
+	Sequence uint64 // of the last item; the next page continues from it
+	Complete bool   // first page of all items; the follower discards its own
+	More     bool   // there are more pages
 	Items    []Item
 }
 
-// Since lists what changed after a sequence of this log's epoch, in the order
-// of the changes, about mostBytes of it. A follower of another epoch, or one
-// too far behind, gets everything from the start.
-func (l *Log) Since(epoch, sequence uint64, mostBytes int) Changes {
-	c := Changes{Epoch: l.epoch, Sequence: l.sequence}
-	c.Whole = epoch != l.epoch || sequence > l.sequence || sequence < l.forgot || sequence == 0
-	if c.Whole {
+// ChangesSince returns a page of about maxBytes of the changes after a sequence of this log's
+// epoch, in order. A follower with another epoch, or one too far behind, gets all items.
+func (l *Log) ChangesSince(epoch, sequence uint64, maxBytes int) Changes {
+	changes := Changes{Epoch: l.epoch, Sequence: l.sequence}
+	changes.Complete = epoch != l.epoch || sequence > l.sequence || sequence < l.discardedTo || sequence == 0
+	if changes.Complete {
 		sequence = 0
 	}
 	if sequence == l.sequence {
-		return c // by far the most frequent question
+		return changes // the most frequent case
 	}
-	changed := l.changedAfter(sequence, c.Whole)
+	changed := l.changedAfter(sequence, changes.Complete)
 	bytes := 0
-	for i, at := range changed {
-		bytes += len(at.Key) + len(at.Value)
-		if bytes > mostBytes && i > 0 {
-			c.Sequence = changed[i-1].sequence
-			c.More = true
-			return c
+	for i, change := range changed {
+		bytes += len(change.Key) + len(change.Value)
+		if bytes > maxBytes && i > 0 {
+			changes.Sequence = changed[i-1].sequence
+			changes.More = true
+			return changes
 		}
-		c.Items = append(c.Items, at.Item)
+		changes.Items = append(changes.Items, change.Item)
 	}
-	return c
+	return changes
 }
 
-type sequenced struct {
+type sequencedItem struct {
 	Item
 	sequence uint64
 }
 
-func (l *Log) changedAfter(sequence uint64, whole bool) []sequenced {
-	var changed []sequenced
+func (l *Log) changedAfter(sequence uint64, whole bool) []sequencedItem {
+	var changed []sequencedItem
 	for key, item := range l.items {
 		if item.sequence > sequence {
-			changed = append(changed, sequenced{Item{Key: key, Value: item.value}, item.sequence})
+			changed = append(changed, sequencedItem{Item{Key: key, Value: item.value}, item.sequence})
 		}
 	}
-	for key, at := range l.gone {
+	for key, at := range l.removals {
 		if at > sequence && !whole {
-			changed = append(changed, sequenced{Item{Key: key}, at})
+			changed = append(changed, sequencedItem{Item{Key: key}, at})
 		}
 	}
 	sort.Slice(changed, func(i, j int) bool { return changed[i].sequence < changed[j].sequence })
 	return changed
 }
 
-// Below lists the values below a prefix in the order of their keys.
-func (l *Log) Below(prefix string) [][]byte {
+// Values returns the values below a prefix, sorted by key.
+func (l *Log) Values(prefix string) [][]byte {
 	var keys []string
 	for key := range l.items {
 		if hasPrefix(key, prefix) {
