--- a/discover/follower.go
+++ b/discover/follower.go
@@ -13,96 +13,92 @@
 )
 
 const (
-	// listTimeout bounds one list, which may come in several pages.
+	// listTimeout bounds one list, which may be paginated.
 	listTimeout = 3 * time.Second
-	// firstRetry doubles up to mostRetry: a store that turns this host away
-	// gets a call a second, and a host that is let in again knows it within one.
-	firstRetry = 100 * time.Millisecond
-	mostRetry  = time.Second
-	// roleCheck is how often a host that follows its peers looks whether it has
-	// to watch the store itself.
-	roleCheck = 500 * time.Millisecond
+	// The retry delay doubles from minRetryDelay to maxRetryDelay.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// roleCheckInterval is the interval at which a host that follows its peers checks
+	// whether it has become a watcher.
+	roleCheckInterval = 500 * time.Millisecond
 )
 
-// Config is what a Follower needs.
+// Config configures a Follower.
 type Config struct {
 	Store  metastore.Store
 	Relay  *Relay
 	Prefix string
 	Now    func() time.Time
 	Logger *zap.Logger
-	// Apply hears each change, with all objects, on the Follower's goroutine,
-	// and the store's revision at which it holds.
+	// Apply is called on the Follower's goroutine after each change, with all objects
+	// and the store's revision.
 	Apply func(objects []metastore.Object, revision metastore.Revision)
-	// Watches tells whether this host watches the store itself; the others
+	// Watches reports whether this host watches the store itself; other hosts
 	// follow their peers.
 	Watches func() bool
-	// Watchers tells how many hosts watch it; nil: this one only.
+	// Watchers returns how many hosts watch the store; nil: this one only.
 	Watchers func() int
-	// Joined tells whether a peer has answered this host and so told what it knows;
-	// nil: unknown.
+	// Joined reports whether a peer has answered this host, and so sent its
+	// revisions; nil: unknown.
 	Joined func() bool
-	// StaleStart lets the first list be seconds old. Each of a fleet that starts reads it,
-	// and the first watch brings what it lacks.
+	// StaleStart allows a stale read for the first list, which every host reads when a
+	// fleet starts. The first watch brings later changes.
 	StaleStart bool
-	// Settle tells how long changes are gathered before the next watch, so that a
-	// start of many servers costs each host a few calls; nil or 0: not at all. Where
-	// many hosts watch it is longer, see gatherFor.
+	// Settle returns how long changes are batched before the next watch, which limits
+	// the calls while many servers start; nil or 0: not at all. It is longer where
+	// many hosts watch; see batchDelay.
 	Settle func() time.Duration
-	// Order tells which of two writes of an object is older where the store's revisions
-	// can't, since it was restored from a backup; nil: nothing does.
-	Order OrderOf
+	// Order reads the order of writes of an object across restores of the store, where
+	// revisions don't order them; nil: unknown.
+	Order WriteOrderFunc
 	// Metrics may be nil.
 	Metrics *Metrics
 }
 
-// Hint says that peers know the changes up to a revision.
+// Hint says that peers have the changes up to a revision.
 type Hint struct {
 	Peers    []string // addresses of peers to ask, in this order
 	Revision metastore.Revision
-	// Newer: they know newer writes than this host by what the writers say, whatever the
+	// Newer reports that the peers have newer writes by WriteOrder, whatever the
 	// revisions.
 	Newer bool
 }
 
-// Follower keeps a Mirror of the objects below a prefix: one list, then watches
-// of the store or questions to peers, and a new list whenever a watch can't be
-// continued.
+// Follower keeps a Mirror of the objects below a prefix. It lists them once, then
+// watches the store or asks peers, and lists again when a watch can't be continued.
 type Follower struct {
-	config   Config
-	mirror   *Mirror
-	revision atomic.Uint64
-	listed   atomic.Bool
-	heardAt  atomic.Int64 // nanoseconds since 1970; 0: never
-	known    atomic.Pointer[known]
-	hints    chan Hint
-	// listReason is why the next list is read.
-	listReason listReason
+	config      Config
+	mirror      *Mirror
+	revision    atomic.Uint64
+	synced      atomic.Bool
+	lastContact atomic.Int64 // Unix nanoseconds; 0: never
+	peerState   atomic.Pointer[peerState]
+	hints       chan Hint
+	listReason  listReason // of the next list
 }
 
-// NewFollower makes a follower; Run starts it.
+// NewFollower returns a follower; Run starts it.
 func NewFollower(config Config) *Follower {
 	return &Follower{config: config, mirror: NewMirror(config.Order), hints: make(chan Hint, 1), listReason: listAtStart}
 }
 
-// Listed reports whether a whole list is known.
-func (f *Follower) Listed() bool { return f.listed.Load() }
+// Listed reports whether a complete list has been applied.
+func (f *Follower) Listed() bool { return f.synced.Load() }
 
-// HeardAt is when the store last answered this host, or the peers that it
-// follows; zero: never. A host that has to watch itself from now on, since its
-// peers are lost, is not cut off before it has had time to.
+// HeardAt is when the store last answered this host, or when this host last followed
+// its peers; zero: never.
 func (f *Follower) HeardAt() time.Time {
-	if at := f.heardAt.Load(); at != 0 {
+	if at := f.lastContact.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
 	return time.Time{}
 }
 
-// Revision is the store's revision up to which changes are known.
+// Revision is the store's revision up to which changes have been applied.
 func (f *Follower) Revision() metastore.Revision { return metastore.Revision(f.revision.Load()) }
 
-// Hear hands in a peer's word. One waits at most: it comes again with each
-// message between hosts.
+// Hear queues a hint, or drops it if one is queued already: peers repeat it with each
+// message.
 func (f *Follower) Hear(hint Hint) {
 	select {
 	case f.hints <- hint:
@@ -112,46 +108,46 @@
 
 // Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	retry := firstRetry
-	forgotten := 0 // times in a row that the store did not know what came after the revision
+	delay := minRetryDelay
+	historyGone := 0 // consecutive watches that failed with ErrHistoryGone
 	for ctx.Err() == nil {
-		err := f.followOnce(ctx, func() { retry, forgotten = firstRetry, 0 })
+		err := f.followOnce(ctx, func() { delay, historyGone = minRetryDelay, 0 })
 		if ctx.Err() != nil {
 			return nil
 		}
 		if errors.Is(err, metastore.ErrHistoryGone) {
-			forgotten++
+			historyGone++
 			f.listReason = listWithoutHistory
-			f.config.Logger.Info("the store's history is gone, listing anew", f.where(err)...)
-			if forgotten == 1 {
+			f.config.Logger.Info("the store's history is gone; listing again", f.logFields(err)...)
+			if historyGone == 1 {
 				continue
 			}
 		} else {
-			f.listReason = listAfterLoss
-			f.mirror.Lost()
-			f.config.Logger.Warn("lost the metadata store", f.where(err)...)
+			f.listReason = listAfterError
+			f.mirror.StoreLost()
+			f.config.Logger.Warn("lost the metadata store", f.logFields(err)...)
 		}
-		f.pause(ctx, retry)
-		retry = min(2*retry, mostRetry)
+		f.pause(ctx, delay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 	return nil
 }
 
-func (f *Follower) where(err error) []zap.Field {
+func (f *Follower) logFields(err error) []zap.Field {
 	return []zap.Field{zap.String("prefix", f.config.Prefix), observe.Revision("revision", f.Revision()), observe.Reason(err)}
 }
 
-// followOnce lists and then follows the store or the peers, until an error. It calls well
-// whenever a watch was answered or peers were followed: a list alone may be followed by a
-// watch that fails.
-func (f *Follower) followOnce(ctx context.Context, well func()) error {
+// followOnce lists and then follows the store or the peers until an error. It calls
+// onProgress after each completed watch or period of following peers, but not after a
+// list, since every watch after it may fail.
+func (f *Follower) followOnce(ctx context.Context, onProgress func()) error {
 	if !f.startFromPeers(ctx) {
 		first := !f.Listed()
-		if err := f.list(ctx); err != nil {
+		if err := f.listStore(ctx); err != nil {
 			return err
 		}
 		if first {
-			f.pause(ctx, firstWatchPause)
+			f.pause(ctx, firstWatchDelay)
 		}
 	}
 	for ctx.Err() == nil {
@@ -159,65 +155,55 @@
 			if err := f.watch(ctx); err != nil {
 				return err
 			}
-			well()
+			onProgress()
 			continue
 		}
-		f.config.Logger.Info("following peers", f.where(nil)...)
+		f.config.Logger.Info("following peers", f.logFields(nil)...)
 		f.followPeers(ctx)
-		well()
-		f.config.Logger.Info("watching the metadata store", f.where(nil)...)
+		onProgress()
+		f.config.Logger.Info("watching the metadata store", f.logFields(nil)...)
 	}
 	return ctx.Err()
 }
 
-// firstWatchPause is how long a host that has listed takes news from peers only.
-//
-// Load: hundreds of hosts start at once, and until they know each other each takes
-// itself for one that has to watch. Harm prevented: 295 hosts made 590 watches for
-// nothing, a third of a calm day's calls. Limit: the hosts of such a fleet know each other
-// within 0.7 s, and a change of the configuration has seconds to be in force.
-const firstWatchPause = 700 * time.Millisecond
+// firstWatchDelay is the delay between the first list and the first watch. When a
+// whole fleet starts at once, each host takes itself for a watcher until the hosts
+// know each other; by then most follow their peers.
+const firstWatchDelay = 700 * time.Millisecond
 
 const (
-	// peersWait is how long a host that starts waits for a peer to let it in.
-	//
-	// Load: all hosts lost power, and the seeds come back last: who asks them hears
-	// nothing, not even a refusal. Harm prevented: callers are turned away while the
-	// store could tell all. Limit: a host that starts into a running fleet and is
-	// let in later costs the store two calls, some thousand starts a day.
-	peersWait = 50 * time.Millisecond
-	// joinedWait is how long it waits on for a peer's word after that: one that
-	// joins a running fleet is told with the first message. A fleet that starts as
-	// a whole asks the store at once: a host whose seeds are up serves 0.15 s after
-	// its start in place of 0.29 s.
-	joinedWait = 40 * time.Millisecond
-	// joinedCheck is how often it looks whether it was let in.
-	joinedCheck = 10 * time.Millisecond
+	// peerJoinTimeout is how long a starting host waits to join before it lists from the
+	// store. When a whole fleet starts at once no peer has a list.
+	peerJoinTimeout = 50 * time.Millisecond
+	// firstHintTimeout is how long it then waits for a hint, which the first messages of a
+	// running fleet carry.
+	firstHintTimeout = 40 * time.Millisecond
+	// joinCheckInterval is the interval at which it checks whether it has joined.
+	joinCheckInterval = 10 * time.Millisecond
 )
 
-// startFromPeers takes the first list from peers, and reports whether one gave
-// it. Where all hosts start at once none can.
+// startFromPeers gets the first list from peers and reports whether it succeeded.
 func (f *Follower) startFromPeers(ctx context.Context) bool {
 	if f.Listed() {
-		return false // what follows a loss comes from the store
+		return false // a list after an error comes from the store
 	}
-	over := time.NewTimer(peersWait)
-	defer over.Stop()
-	check := time.NewTicker(joinedCheck)
-	defer check.Stop()
+	timeout := time.NewTimer(peerJoinTimeout)
+	defer timeout.Stop()
+	ticker := time.NewTicker(joinCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case hint := <-f.hints:
-			if f.ask(ctx, hint) {
-				f.listed.Store(true)
+			if f.askPeers(ctx, hint) {
+				f.synced.Store(true)
 				return true
 			}
-		case <-check.C:
+		case <-ticker.C:
 			if f.config.Joined != nil && f.config.Joined() {
-				check.Stop()
-				over.Reset(joinedWait)
+				ticker.Stop()
+				timeout.Reset(firstHintTimeout)
 			}
-		case <-over.C:
+		case <-timeout.C:
 			return false
 		case <-ctx.Done():
 			return false
@@ -225,7 +211,7 @@
 	}
 }
 
-func (f *Follower) list(ctx context.Context) error {
+func (f *Follower) listStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	read := f.config.Store.List
@@ -237,52 +223,52 @@
 		return err
 	}
 	if known := f.Revision(); revision.Era() < known.Era() {
-		return errors.Wrapf(metastore.ErrUnavailable, "the list is of revision %s, a peer knows %s", revision, known)
+		return errors.Wrapf(metastore.ErrUnavailable, "the list has revision %s, a peer has revision %s", revision, known)
 	}
-	regained := f.mirror.lost
-	f.config.Logger.Info("listed from the metadata store", append(f.where(nil), zap.String("reason", string(f.listReason)),
+	recovered := f.mirror.storeLost
+	f.config.Logger.Info("listed from the metadata store", append(f.logFields(nil), zap.String("reason", string(f.listReason)),
 		observe.Revision("store_revision", revision), zap.Int("objects", len(objects)))...)
-	f.config.Metrics.noteList(f.config.Prefix, f.listReason)
-	f.config.Metrics.noteRevision(f.config.Prefix, revision)
-	f.heard()
+	f.config.Metrics.countList(f.config.Prefix, f.listReason)
+	f.config.Metrics.setRevision(f.config.Prefix, revision)
+	f.noteContact()
 	rewound := f.listReason == listWithoutHistory && f.rewind(revision)
-	f.advance(revision)
+	f.advanceRevision(revision)
 	changed := f.mirror.Replace(f.config.Now(), objects, revision)
-	f.apply(changed || rewound || !f.Listed() || regained)
-	// Only now: a host that is ready before it has applied the list refuses its
-	// first requests for lack of servers.
-	f.listed.Store(true)
+	f.publish(changed || rewound || !f.Listed() || recovered)
+	// Set after the list was applied: a host that is ready earlier would refuse
+	// requests for lack of servers.
+	f.synced.Store(true)
 	return nil
 }
 
-// rewind takes back a revision that the store refused and that its list does not reach in
-// the same era, and reports whether it was one. A first list that was stale may hold what
-// a restored store has lost.
+// rewind lowers the revision to that of a list of the same era, and reports whether it
+// did. A stale first list may contain writes that a restored store has lost.
 func (f *Follower) rewind(listed metastore.Revision) bool {
 	known := f.Revision()
 	if listed >= known || listed.Era() != known.Era() {
 		return false
 	}
-	f.config.Logger.Warn("the metadata store is behind what is known, its list is taken", append(f.where(nil), observe.Revision("store_revision", listed))...)
+	f.config.Logger.Warn("the metadata store is behind the known revision; applying its list", append(f.logFields(nil), observe.Revision("store_revision", listed))...)
 	f.revision.Store(uint64(listed))
 	f.mirror.Rewind(listed)
 	return true
 }
 
-type watched struct {
+// watchResult is the result of a watch.
+type watchResult struct {
 	objects  []metastore.Object
 	revision metastore.Revision
 	err      error
 }
 
-// watch waits for the next change, doing what falls due meanwhile.
+// watch applies the next change of the store. While it waits it handles ticks and hints.
 func (f *Follower) watch(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, watchFor(f.watchers()))
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout(f.watcherCount()))
 	defer cancel()
-	results := make(chan watched, 1)
+	results := make(chan watchResult, 1)
 	go func() {
 		objects, revision, err := f.config.Store.Watch(ctx, f.config.Prefix, f.Revision())
-		results <- watched{objects, revision, err}
+		results <- watchResult{objects, revision, err}
 	}()
 	for {
 		timer := time.NewTimer(f.untilTick())
@@ -292,32 +278,32 @@
 			if w.err != nil {
 				return w.err
 			}
-			f.heard()
-			f.config.Metrics.noteRevision(f.config.Prefix, w.revision)
-			f.advance(w.revision)
-			f.apply(f.mirror.Change(f.config.Now(), w.objects, w.revision))
-			f.settle(ctx, len(w.objects))
+			f.noteContact()
+			f.config.Metrics.setRevision(f.config.Prefix, w.revision)
+			f.advanceRevision(w.revision)
+			f.publish(f.mirror.ApplyChanges(f.config.Now(), w.objects, w.revision))
+			f.batchChanges(ctx, len(w.objects))
 			return nil
 		case <-timer.C:
 			f.tick()
 		case hint := <-f.hints:
 			timer.Stop()
-			if f.ask(ctx, hint) {
-				return nil // the watch began before what is known now
+			if f.askPeers(ctx, hint) {
+				return nil // restart the watch from the new revision
 			}
 		}
 	}
 }
 
-// followPeers takes changes from peers until this host has to watch itself.
+// followPeers applies changes from peers until this host becomes a watcher.
 func (f *Follower) followPeers(ctx context.Context) {
 	for ctx.Err() == nil && !f.config.Watches() {
-		timer := time.NewTimer(min(roleCheck, f.untilTick()))
+		timer := time.NewTimer(min(roleCheckInterval, f.untilTick()))
 		select {
 		case hint := <-f.hints:
-			f.ask(ctx, hint)
+			f.askPeers(ctx, hint)
 		case <-timer.C:
-			f.heard() // by its peers: Watches would say so otherwise
+			f.noteContact() // without contact to peers this host would be a watcher
 			f.tick()
 		case <-ctx.Done():
 		}
@@ -325,119 +311,119 @@
 	}
 }
 
-// ask takes what peers know and reports whether that was something new.
-func (f *Follower) ask(ctx context.Context, hint Hint) bool {
-	own := f.Revision()
-	found := false // the newer writes
+// askPeers applies changes from the hint's peers and reports whether the revision advanced.
+func (f *Follower) askPeers(ctx context.Context, hint Hint) bool {
+	before := f.Revision()
+	found := false // newer writes were applied
 	for _, address := range hint.Peers {
 		after := f.Revision()
 		if hint.Revision <= after {
 			if !hint.Newer || found {
 				break
 			}
-			after = 0 // everything: the newer writes may have revisions below the one known
+			after = 0 // all objects: newer writes may have lower revisions
 		}
-		got, err := f.config.Relay.ask(ctx, address, f.config.Prefix, after)
+		received, err := f.config.Relay.fetchChanges(ctx, address, f.config.Prefix, after)
 		if err != nil {
-			f.config.Logger.Warn("a peer did not tell what has changed", append(f.where(err), observe.Revision("peers_revision", hint.Revision))...)
+			f.config.Logger.Warn("failed to get changes from a peer", append(f.logFields(err), observe.Revision("peers_revision", hint.Revision))...)
 			continue
 		}
-		if got.revision > f.Revision() {
-			f.take(got, address)
+		if received.revision > f.Revision() {
+			f.applyChanges(received, address)
 			continue
 		}
-		found = f.takeNewer(got, address) || found
+		found = f.applyNewer(received, address) || found
 	}
-	return f.Revision() > own
+	return f.Revision() > before
 }
 
-// takeNewer takes from a peer the writes that are newer than those known, and reports
-// whether there were any.
-func (f *Follower) takeNewer(got changes, address string) bool {
-	changed := f.mirror.TakeNewer(got.objects)
+// applyNewer applies a peer's writes that are newer by WriteOrder, and reports whether
+// there were any.
+func (f *Follower) applyNewer(received changes, address string) bool {
+	changed := f.mirror.ApplyNewer(received.objects)
 	if changed {
-		f.config.Logger.Info("heard from a peer what the store has lost", append(f.where(nil), zap.String("peer", address))...)
+		f.config.Logger.Info("applied writes from a peer that the store has lost", append(f.logFields(nil), zap.String("peer", address))...)
 	}
-	f.apply(changed)
+	f.publish(changed)
 	return changed
 }
 
-// take takes a peer's changes in.
-func (f *Follower) take(got changes, address string) {
-	f.advance(got.revision)
-	f.mirror.Doubt(f.config.Now().Add(got.doubt))
+// applyChanges applies a peer's changes.
+func (f *Follower) applyChanges(received changes, address string) {
+	f.advanceRevision(received.revision)
+	f.mirror.DeferRemovals(f.config.Now().Add(received.deferFor))
 	changed := false
-	if got.whole {
-		changed = f.mirror.Replace(f.config.Now(), got.objects, got.revision)
+	if received.complete {
+		changed = f.mirror.Replace(f.config.Now(), received.objects, received.revision)
 	} else {
-		for _, key := range got.removed {
-			got.objects = append(got.objects, metastore.Object{Key: key})
+		for _, key := range received.removed {
+			received.objects = append(received.objects, metastore.Object{Key: key})
 		}
-		changed = f.mirror.Change(f.config.Now(), got.objects, got.revision)
+		changed = f.mirror.ApplyChanges(f.config.Now(), received.objects, received.revision)
 	}
-	f.config.Logger.Info("heard from a peer", append(f.where(nil), zap.String("peer", address), zap.Bool("changed", changed))...)
-	f.apply(changed)
+	f.config.Logger.Info("heard from a peer", append(f.logFields(nil), zap.String("peer", address), zap.Bool("changed", changed))...)
+	f.publish(changed)
 }
 
-// settle lets more changes gather after some have come.
-func (f *Follower) settle(ctx context.Context, changes int) {
+// batchChanges delays the next watch after changes, so that it brings more of them.
+func (f *Follower) batchChanges(ctx context.Context, changes int) {
 	if changes == 0 || f.config.Settle == nil {
 		return
 	}
-	if usual := f.config.Settle(); usual > 0 {
-		f.pause(ctx, gatherFor(usual, f.watchers()))
+	if interval := f.config.Settle(); interval > 0 {
+		f.pause(ctx, batchDelay(interval, f.watcherCount()))
 	}
 }
 
-func (f *Follower) watchers() int {
+func (f *Follower) watcherCount() int {
 	if f.config.Watchers == nil {
 		return 1
 	}
 	return f.config.Watchers()
 }
 
-// idleTick is how long the loop sleeps when nothing is due.
-const idleTick = time.Minute
+// idleTickInterval is the timer interval when no tick is due.
+const idleTickInterval = time.Minute
 
 func (f *Follower) untilTick() time.Duration {
 	next := f.mirror.NextTick()
 	if next.IsZero() {
-		return idleTick
+		return idleTickInterval
 	}
 	return max(next.Sub(f.config.Now()), 0)
 }
 
-// pause waits, doing what falls due meanwhile.
+// pause waits, and handles hints meanwhile.
 func (f *Follower) pause(ctx context.Context, wait time.Duration) {
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
 		select {
-		case <-over.C:
+		case <-timer.C:
 			f.tick()
 			return
 		case hint := <-f.hints:
-			f.ask(ctx, hint)
+			f.askPeers(ctx, hint)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (f *Follower) tick() { f.apply(f.mirror.Tick(f.config.Now())) }
+func (f *Follower) tick() { f.publish(f.mirror.Tick(f.config.Now())) }
 
-func (f *Follower) heard() { f.heardAt.Store(f.config.Now().UnixNano()) }
+func (f *Follower) noteContact() { f.lastContact.Store(f.config.Now().UnixNano()) }
 
-func (f *Follower) advance(revision metastore.Revision) {
+func (f *Follower) advanceRevision(revision metastore.Revision) {
 	f.revision.Store(uint64(max(revision, f.Revision())))
 }
 
-func (f *Follower) apply(changed bool) {
+func (f *Follower) publish(changed bool) {
 	if !changed {
 		return
 	}
 	revision := f.Revision()
 	objects := f.mirror.Objects()
-	f.known.Store(f.mirror.known(objects, revision))
+	f.peerState.Store(f.mirror.peerState(objects, revision))
 	f.config.Apply(objects, revision)
 }
--- a/discover/metrics.go
+++ b/discover/metrics.go
@@ -7,12 +7,12 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// listReason says why a whole list is read from the metadata store.
+// listReason is why a complete list is read from the metadata store.
 type listReason string
 
 const (
 	listAtStart        listReason = "start"
-	listAfterLoss      listReason = "store_lost"
+	listAfterError     listReason = "store_lost"
 	listWithoutHistory listReason = "history_gone"
 )
 
@@ -22,7 +22,7 @@
 	labelReason      = "reason"
 )
 
-// Metrics are the counters of a host's Followers.
+// Metrics are the metrics of a host's Followers.
 type Metrics struct {
 	lists    *prometheus.CounterVec
 	revision *prometheus.GaugeVec
@@ -47,21 +47,21 @@
 	}
 	for _, c := range []prometheus.Collector{m.lists, m.revision, m.era} {
 		if err := registry.Register(c); err != nil {
-			return nil, errors.Wrap(err, "metrics of the metadata store")
+			return nil, errors.Wrap(err, "register the metrics of the metadata store")
 		}
 	}
 	return m, nil
 }
 
-// noteList counts a list; m may be nil.
-func (m *Metrics) noteList(prefix string, reason listReason) {
+// countList counts a list; m may be nil.
+func (m *Metrics) countList(prefix string, reason listReason) {
 	if m != nil {
 		m.lists.WithLabelValues(prefix, string(reason)).Inc()
 	}
 }
 
-// noteRevision notes the store's revision; m may be nil.
-func (m *Metrics) noteRevision(prefix string, revision metastore.Revision) {
+// setRevision sets the store's revision; m may be nil.
+func (m *Metrics) setRevision(prefix string, revision metastore.Revision) {
 	if m != nil {
 		m.revision.WithLabelValues(prefix).Set(float64(revision.Counter()))
 		m.era.WithLabelValues(prefix).Set(float64(revision.Era()))
--- a/discover/mirror.go
+++ b/discover/mirror.go
@@ -1,6 +1,6 @@
-// Package discover follows what others write to the metadata store: the
-// operator's configuration and the backend servers' entries. A Mirror is the
-// state as this host believes it, a Follower keeps it up to date.
+// Package discover follows objects in the metadata store: the operator's
+// configuration and the backend servers' entries. A Mirror is the local copy, which a
+// Follower keeps up to date from the store or from peers.
 package discover
 
 import (
@@ -12,54 +12,49 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// returnGrace is how long after the store is heard again a missing entry is
-// still believed: servers whose leases lapsed while the store was away write
-// their entries anew within 2 s of its return.
-const returnGrace = 2500 * time.Millisecond
+// recoveryGrace is how long removals are deferred after the store recovers: servers whose
+// leases expired during the outage write their entries again within 2 s.
+const recoveryGrace = 2500 * time.Millisecond
 
-// Mirror holds the objects below one prefix. It is pure and not safe for
+// Mirror holds the objects below one prefix. It does no I/O and is not safe for
 // concurrent use.
 type Mirror struct {
 	objects map[string]metastore.Object
-	// removing holds when a missing object is dropped.
-	removing map[string]time.Time
-	lost     bool
-	listed   bool // a whole list was taken in
-	// gone holds at which revision of the store objects were found gone, for
-	// peers; it is complete for those after goneSince, see begin.
-	gone      map[string]metastore.Revision
-	goneSince metastore.Revision
-	// doubtUntil: removals before it are held back until then.
-	doubtUntil time.Time
-	order      OrderOf
-}
-
-// NewMirror makes an empty mirror; order may be nil.
-func NewMirror(order OrderOf) *Mirror {
-	return &Mirror{order: order, objects: make(map[string]metastore.Object), removing: make(map[string]time.Time), gone: make(map[string]metastore.Revision)}
-}
-
-// Lost notes that the store can't be heard.
-//
-// Failure: the store is away for seconds, every server's lease lapses, and with
-// its return the first list is empty: all requests would be refused until the
-// servers have written again. The guard holds because a removal that is heard
-// within returnGrace of the return takes effect at its end, unless the entry
-// comes back; what has really gone is then dropped.
-func (m *Mirror) Lost() { m.lost = true }
-
-func (m *Mirror) heard(now time.Time) {
-	if m.lost {
-		m.lost = false
-		m.doubtUntil = now.Add(returnGrace)
-	}
-}
-
-// Replace takes in a whole list, which holds at the revision, and reports
-// whether there is anything new for this host or for peers.
+	// deferred holds when objects with a deferred removal are dropped.
+	deferred  map[string]time.Time
+	storeLost bool
+	hasList   bool // a complete list was applied
+	// removals holds the revisions of removals, for peers; it is complete for removals
+	// after removalsSince.
+	removals      map[string]metastore.Revision
+	removalsSince metastore.Revision
+	// deferUntil is the time until which removals are deferred.
+	deferUntil time.Time
+	order      WriteOrderFunc
+}
+
+// NewMirror returns an empty mirror; order may be nil.
+func NewMirror(order WriteOrderFunc) *Mirror {
+	return &Mirror{order: order, objects: make(map[string]metastore.Object), deferred: make(map[string]time.Time), removals: make(map[string]metastore.Revision)}
+}
+
+// StoreLost records that the store is unavailable. Leases of live servers expire during
+// an outage, so removals within recoveryGrace of the recovery are deferred until its end
+// and cancelled if the entry is written again.
+func (m *Mirror) StoreLost() { m.storeLost = true }
+
+func (m *Mirror) noteStoreReply(now time.Time) {
+	if m.storeLost {
+		m.storeLost = false
+		m.deferUntil = now.Add(recoveryGrace)
+	}
+}
+
+// Replace applies a complete list and reports whether anything changed for this host
+// or its peers.
 func (m *Mirror) Replace(now time.Time, listed []metastore.Object, revision metastore.Revision) bool {
-	m.heard(now)
-	m.begin(now, revision)
+	m.noteStoreReply(now)
+	m.startRemovals(now, revision)
 	changed := false
 	present := make(map[string]bool, len(listed))
 	for _, object := range listed {
@@ -74,28 +69,25 @@
 	return changed
 }
 
-// begin notes where the removals that are remembered begin: with the first whole list, and
-// with the first one of each era of the store.
-//
-// A peer from before that revision is given everything. Otherwise it would keep what was
-// removed in the meantime, or what a restored store has lost, and take the revision for
-// its own. Whoever had written what the store has lost writes it again, so removals are
-// held back.
-func (m *Mirror) begin(now time.Time, revision metastore.Revision) {
-	restored := m.listed && revision.Era() != m.goneSince.Era()
-	if m.listed && !restored {
+// startRemovals restarts the record of removals at the first complete list, and at the first one
+// of each era of the store. Peers behind that revision get all objects, since older
+// removals are unknown. After a restore, writers repeat the writes that the store
+// has lost, so removals are deferred.
+func (m *Mirror) startRemovals(now time.Time, revision metastore.Revision) {
+	restored := m.hasList && revision.Era() != m.removalsSince.Era()
+	if m.hasList && !restored {
 		return
 	}
 	if restored {
-		m.doubtUntil = now.Add(returnGrace)
-		clear(m.gone)
+		m.deferUntil = now.Add(recoveryGrace)
+		clear(m.removals)
 	}
-	m.listed, m.goneSince = true, revision
+	m.hasList, m.removalsSince = true, revision
 }
 
-// TakeNewer takes in the objects that were written after those held, by what their writers
-// say, whatever their revisions; it reports whether there were any.
-func (m *Mirror) TakeNewer(objects []metastore.Object) bool {
+// ApplyNewer applies the objects that are newer by WriteOrder, whatever their revisions,
+// and reports whether there were any.
+func (m *Mirror) ApplyNewer(objects []metastore.Object) bool {
 	changed := false
 	for _, object := range objects {
 		held, known := m.objects[object.Key]
@@ -107,7 +99,7 @@
 	return changed
 }
 
-// Rewind makes the objects from above the revision older than any that the store hands out.
+// Rewind lets the store overwrite objects with a revision above the given one.
 func (m *Mirror) Rewind(revision metastore.Revision) {
 	for key, held := range m.objects {
 		if held.Revision > revision {
@@ -115,14 +107,14 @@
 			m.objects[key] = held
 		}
 	}
-	clear(m.gone)
-	m.goneSince = revision
+	clear(m.removals)
+	m.removalsSince = revision
 }
 
-// Change takes in changed objects up to the revision and reports whether there
-// is anything new for this host or for peers.
-func (m *Mirror) Change(now time.Time, objects []metastore.Object, revision metastore.Revision) bool {
-	m.heard(now)
+// ApplyChanges applies changed objects up to the revision and reports whether anything
+// changed for this host or its peers.
+func (m *Mirror) ApplyChanges(now time.Time, objects []metastore.Object, revision metastore.Revision) bool {
+	m.noteStoreReply(now)
 	changed := false
 	for _, object := range objects {
 		if object.Version == 0 {
@@ -134,12 +126,11 @@
 	return changed
 }
 
-// set takes one object in. An older revision than the one held is left, and so is an
-// older write: neither a reply that was long on its way nor a restored store may bring an
-// old configuration back.
+// set stores one object unless it has a lower revision or is an older write than the one
+// held, as from a delayed reply or a restored store.
 func (m *Mirror) set(object metastore.Object) bool {
-	delete(m.removing, object.Key)
-	delete(m.gone, object.Key)
+	delete(m.deferred, object.Key)
+	delete(m.removals, object.Key)
 	held, known := m.objects[object.Key]
 	if known && (object.Revision <= held.Revision || m.order.outdated(object, held)) {
 		return false
@@ -152,51 +143,49 @@
 	if _, known := m.objects[key]; !known {
 		return false
 	}
-	if now.Before(m.doubtUntil) {
-		if _, waits := m.removing[key]; waits {
+	if now.Before(m.deferUntil) {
+		if _, pending := m.deferred[key]; pending {
 			return false
 		}
-		m.removing[key] = m.doubtUntil
-		m.remember(key, revision)
+		m.deferred[key] = m.deferUntil
+		m.recordRemoval(key, revision)
 		return true
 	}
 	m.drop(key)
-	m.remember(key, revision)
+	m.recordRemoval(key, revision)
 	return true
 }
 
-// mostGone bounds the removals that are remembered: a release of all servers of
-// the largest deployment played. A peer further behind gets everything.
-const mostGone = 4096
+// maxRemovals bounds the recorded removals. Peers further behind get all objects.
+const maxRemovals = 4096
 
-// remember notes for peers at which revision an object was found gone. It is
-// noted when it is heard, not when a removal that is held back takes effect:
-// peers that know that revision by then would never ask for it again.
-func (m *Mirror) remember(key string, revision metastore.Revision) {
-	if len(m.gone) >= mostGone {
-		clear(m.gone)
-		m.goneSince = revision
+// recordRemoval records a removal for peers. It is called when the removal is received, even
+// if it is deferred: peers that reach the revision later would never learn of it.
+func (m *Mirror) recordRemoval(key string, revision metastore.Revision) {
+	if len(m.removals) >= maxRemovals {
+		clear(m.removals)
+		m.removalsSince = revision
 	}
-	m.gone[key] = revision
+	m.removals[key] = revision
 }
 
 func (m *Mirror) drop(key string) {
-	delete(m.removing, key)
+	delete(m.deferred, key)
 	delete(m.objects, key)
 }
 
-// Doubt holds removals back until then: a peer that tells of them has just
-// regained the store.
-func (m *Mirror) Doubt(until time.Time) {
-	if until.After(m.doubtUntil) {
-		m.doubtUntil = until
+// DeferRemovals defers removals until the given time, because the peer that reported them has
+// just regained the store.
+func (m *Mirror) DeferRemovals(until time.Time) {
+	if until.After(m.deferUntil) {
+		m.deferUntil = until
 	}
 }
 
-// Tick drops what was held back for long enough and reports whether it did.
+// Tick drops the objects whose deferred removal is due and reports whether there were any.
 func (m *Mirror) Tick(now time.Time) bool {
 	changed := false
-	for key, at := range m.removing {
+	for key, at := range m.deferred {
 		if !now.Before(at) {
 			m.drop(key)
 			changed = true
@@ -205,10 +194,10 @@
 	return changed
 }
 
-// NextTick is when Tick is due; zero: not at all.
+// NextTick is when Tick is due; zero: never.
 func (m *Mirror) NextTick() time.Time {
 	var next time.Time
-	for _, at := range m.removing {
+	for _, at := range m.deferred {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
@@ -216,7 +205,7 @@
 	return next
 }
 
-// Objects lists what is believed, by key.
+// Objects returns all objects, sorted by key.
 func (m *Mirror) Objects() []metastore.Object {
 	list := make([]metastore.Object, 0, len(m.objects))
 	for _, object := range m.objects {
@@ -226,14 +215,13 @@
 	return list
 }
 
-// known is a copy of what is believed for peers, without what is about to be
-// removed.
-func (m *Mirror) known(believed []metastore.Object, revision metastore.Revision) *known {
-	k := &known{revision: revision, removed: maps.Clone(m.gone), since: m.goneSince, doubtUntil: m.doubtUntil}
-	for _, object := range believed {
-		if _, leaves := m.removing[object.Key]; !leaves {
-			k.objects = append(k.objects, object)
+// peerState returns a copy for peers, without objects whose removal is deferred.
+func (m *Mirror) peerState(objects []metastore.Object, revision metastore.Revision) *peerState {
+	state := &peerState{revision: revision, removed: maps.Clone(m.removals), removedSince: m.removalsSince, finalAt: m.deferUntil}
+	for _, object := range objects {
+		if _, removing := m.deferred[object.Key]; !removing {
+			state.objects = append(state.objects, object)
 		}
 	}
-	return k
+	return state
 }
--- a/discover/order.go
+++ b/discover/order.go
@@ -2,12 +2,12 @@
 
 import "github.com/goldcrestspan/goldcrestspan/metastore"
 
-// WriteOrder orders the writes of one object by what its writer says in it. Unlike the
-// store's revisions it does not go back when the store is restored from a backup.
+// WriteOrder orders the writes of one object by a stamp that the writer puts into it.
+// Unlike revisions it does not decrease when the store is restored from a backup.
 type WriteOrder struct {
-	// Incarnation is the writer's start; 0: not said.
+	// Incarnation is the writer's incarnation; 0: unknown.
 	Incarnation uint64
-	// Sequence rises with the writes of one start.
+	// Sequence increases with the writes of one incarnation.
 	Sequence uint64
 }
 
@@ -19,19 +19,19 @@
 	return o.Sequence < other.Sequence
 }
 
-// OrderOf reads the order of an object's write; false: the object does not say.
-type OrderOf func(metastore.Object) (WriteOrder, bool)
+// WriteOrderFunc reads the WriteOrder of an object; false: it has none.
+type WriteOrderFunc func(metastore.Object) (WriteOrder, bool)
 
-// outdated reports whether a restored store has brought the object back from before the
-// one that is held. Within an era of the store its revisions order the writes.
-func (order OrderOf) outdated(object, held metastore.Object) bool {
+// outdated reports whether the object is an older write than the one held, from a store
+// that was restored in between. Within an era revisions order the writes.
+func (order WriteOrderFunc) outdated(object, held metastore.Object) bool {
 	if order == nil || object.Revision.Era() == held.Revision.Era() {
 		return false
 	}
-	written, said := order(object)
-	if !said {
+	writeOrder, ok := order(object)
+	if !ok {
 		return false
 	}
-	newest, said := order(held)
-	return said && written.before(newest)
+	heldOrder, ok := order(held)
+	return ok && writeOrder.before(heldOrder)
 }
--- /dev/null
+++ b/discover/peerstate.go
@@ -0,0 +1,49 @@
+package discover
+
+import (
+	"time"
+
+	"github.com/goldcrestspan/goldcrestspan/metastore"
+)
+
+// peerState is an immutable copy of a Mirror at one revision, from which peers are served.
+type peerState struct {
+	revision metastore.Revision
+	objects  []metastore.Object
+	// removed holds the revision of each removal; it is complete for removals
+	// after since.
+	removed      map[string]metastore.Revision
+	removedSince metastore.Revision
+	// finalAt is when removals become final; see Mirror.StoreLost.
+	finalAt time.Time
+}
+
+// changes are what a peer is missing.
+type changes struct {
+	revision metastore.Revision
+	complete bool // objects is the complete list
+	objects  []metastore.Object
+	removed  []string
+	// deferFor is how long removals are not final.
+	deferFor time.Duration
+}
+
+// changesAfter returns the changes after a revision, or all objects if removals after it have
+// been forgotten.
+func (k *peerState) changesAfter(revision metastore.Revision) changes {
+	if revision < k.removedSince || revision == 0 {
+		return changes{revision: k.revision, complete: true, objects: k.objects}
+	}
+	c := changes{revision: k.revision}
+	for _, object := range k.objects {
+		if object.Revision > revision {
+			c.objects = append(c.objects, object)
+		}
+	}
+	for key, at := range k.removed {
+		if at > revision {
+			c.removed = append(c.removed, key)
+		}
+	}
+	return c
+}
