--- a/catalog/follow.go
+++ b/catalog/follow.go
@@ -95,7 +95,7 @@
 
 func (a *Agent) noteContact(ago time.Duration) {
 	heard := time.Now().Add(-ago)
-	if heard.After(a.HeardAt()) {
+	if heard.After(a.LastContact()) {
 		a.lastContact.Store(heard.UnixNano())
 	}
 }
@@ -122,7 +122,7 @@
 	changes := a.log.ChangesSince(request.GetEpoch(), request.GetSequence(), pageBytes)
 	a.mu.Unlock()
 	reply := &catalogpb.ChangesReply{Epoch: changes.Epoch, Sequence: changes.Sequence, Whole: changes.Complete, More: changes.More, HeardAgoMs: neverReached}
-	if heard := a.HeardAt(); !heard.IsZero() {
+	if heard := a.LastContact(); !heard.IsZero() {
 		reply.HeardAgoMs = max(time.Since(heard).Milliseconds(), 0)
 	}
 	for _, item := range changes.Items {
--- a/catalog/serverlist.go
+++ b/catalog/serverlist.go
@@ -17,11 +17,11 @@
 	keepTruncatedFor = time.Hour
 )
 
-// Listing holds the backend servers that the host list has named recently. An empty or
+// ServerList holds the backend servers that the host list has named recently. An empty or
 // truncated list must not remove servers that still answer, so a server is removed only
 // after it was absent for a while, and never by an empty list. It is not safe for
 // concurrent use.
-type Listing struct {
+type ServerList struct {
 	servers map[string]listedServer
 }
 
@@ -30,11 +30,11 @@
 	listedAt time.Time // of the last list that named it
 }
 
-// NewListing returns an empty Listing.
-func NewListing() *Listing { return &Listing{servers: make(map[string]listedServer)} }
+// NewServerList returns an empty Listing.
+func NewServerList() *ServerList { return &ServerList{servers: make(map[string]listedServer)} }
 
-// Read applies a reading of the host list and returns the servers, sorted by name.
-func (l *Listing) Read(now time.Time, rows []metastore.ListedHost) []metastore.ListedHost {
+// Update applies a reading of the host list and returns the servers, sorted by name.
+func (l *ServerList) Update(now time.Time, rows []metastore.ListedHost) []metastore.ListedHost {
 	keep := keepAbsentFor
 	if 2*len(rows) < len(l.servers) {
 		keep = keepTruncatedFor
@@ -48,7 +48,7 @@
 	return l.rows()
 }
 
-func (l *Listing) expire(now time.Time, keep time.Duration) {
+func (l *ServerList) expire(now time.Time, keep time.Duration) {
 	for name, server := range l.servers {
 		if now.Sub(server.listedAt) > keep {
 			delete(l.servers, name)
@@ -56,7 +56,7 @@
 	}
 }
 
-func (l *Listing) rows() []metastore.ListedHost {
+func (l *ServerList) rows() []metastore.ListedHost {
 	rows := make([]metastore.ListedHost, 0, len(l.servers))
 	for _, server := range l.servers {
 		rows = append(rows, server.row)
--- a/discover/follower.go
+++ b/discover/follower.go
@@ -30,24 +30,24 @@
 	Prefix string
 	Now    func() time.Time
 	Logger *zap.Logger
-	// Apply is called on the Follower's goroutine after each change, with all objects
+	// OnChange is called on the Follower's goroutine after each change, with all objects
 	// and the store's revision.
-	Apply func(objects []metastore.Object, revision metastore.Revision)
-	// Watches reports whether this host watches the store itself; other hosts
+	OnChange func(objects []metastore.Object, revision metastore.Revision)
+	// IsWatcher reports whether this host watches the store itself; other hosts
 	// follow their peers.
-	Watches func() bool
-	// Watchers returns how many hosts watch the store; nil: this one only.
-	Watchers func() int
+	IsWatcher func() bool
+	// WatcherCount returns how many hosts watch the store; nil: this one only.
+	WatcherCount func() int
 	// Joined reports whether a peer has answered this host, and so sent its
 	// revisions; nil: unknown.
 	Joined func() bool
-	// StaleStart allows a stale read for the first list, which every host reads when a
+	// AllowStaleFirstList allows a stale read for the first list, which every host reads when a
 	// fleet starts. The first watch brings later changes.
-	StaleStart bool
-	// Settle returns how long changes are batched before the next watch, which limits
+	AllowStaleFirstList bool
+	// BatchInterval returns how long changes are batched before the next watch, which limits
 	// the calls while many servers start; nil or 0: not at all. It is longer where
 	// many hosts watch; see batchDelay.
-	Settle func() time.Duration
+	BatchInterval func() time.Duration
 	// Order reads the order of writes of an object across restores of the store, where
 	// revisions don't order them; nil: unknown.
 	Order WriteOrderFunc
@@ -59,9 +59,9 @@
 type Hint struct {
 	Peers    []string // addresses of peers to ask, in this order
 	Revision metastore.Revision
-	// Newer reports that the peers have newer writes by WriteOrder, whatever the
+	// HasNewerWrites reports that the peers have newer writes by WriteOrder, whatever the
 	// revisions.
-	Newer bool
+	HasNewerWrites bool
 }
 
 // Follower keeps a Mirror of the objects below a prefix. It lists them once, then
@@ -82,12 +82,12 @@
 	return &Follower{config: config, mirror: NewMirror(config.Order), hints: make(chan Hint, 1), listReason: listAtStart}
 }
 
-// Listed reports whether a complete list has been applied.
-func (f *Follower) Listed() bool { return f.synced.Load() }
+// HasSynced reports whether a complete list has been applied.
+func (f *Follower) HasSynced() bool { return f.synced.Load() }
 
-// HeardAt is when the store last answered this host, or when this host last followed
+// LastContact is when the store last answered this host, or when this host last followed
 // its peers; zero: never.
-func (f *Follower) HeardAt() time.Time {
+func (f *Follower) LastContact() time.Time {
 	if at := f.lastContact.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
@@ -97,9 +97,9 @@
 // Revision is the store's revision up to which changes have been applied.
 func (f *Follower) Revision() metastore.Revision { return metastore.Revision(f.revision.Load()) }
 
-// Hear queues a hint, or drops it if one is queued already: peers repeat it with each
+// Notify queues a hint, or drops it if one is queued already: peers repeat it with each
 // message.
-func (f *Follower) Hear(hint Hint) {
+func (f *Follower) Notify(hint Hint) {
 	select {
 	case f.hints <- hint:
 	default:
@@ -142,7 +142,7 @@
 // list, since every watch after it may fail.
 func (f *Follower) followOnce(ctx context.Context, onProgress func()) error {
 	if !f.startFromPeers(ctx) {
-		first := !f.Listed()
+		first := !f.HasSynced()
 		if err := f.listStore(ctx); err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 		}
 	}
 	for ctx.Err() == nil {
-		if f.config.Watches() {
+		if f.config.IsWatcher() {
 			if err := f.watch(ctx); err != nil {
 				return err
 			}
@@ -184,7 +184,7 @@
 
 // startFromPeers gets the first list from peers and reports whether it succeeded.
 func (f *Follower) startFromPeers(ctx context.Context) bool {
-	if f.Listed() {
+	if f.HasSynced() {
 		return false // a list after an error comes from the store
 	}
 	timeout := time.NewTimer(peerJoinTimeout)
@@ -215,7 +215,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	read := f.config.Store.List
-	if f.config.StaleStart && !f.Listed() {
+	if f.config.AllowStaleFirstList && !f.HasSynced() {
 		read = f.config.Store.ListStale
 	}
 	objects, revision, err := read(ctx, f.config.Prefix)
@@ -234,7 +234,7 @@
 	rewound := f.listReason == listWithoutHistory && f.rewind(revision)
 	f.advanceRevision(revision)
 	changed := f.mirror.Replace(f.config.Now(), objects, revision)
-	f.publish(changed || rewound || !f.Listed() || recovered)
+	f.publish(changed || rewound || !f.HasSynced() || recovered)
 	// Set after the list was applied: a host that is ready earlier would refuse
 	// requests for lack of servers.
 	f.synced.Store(true)
@@ -297,7 +297,7 @@
 
 // followPeers applies changes from peers until this host becomes a watcher.
 func (f *Follower) followPeers(ctx context.Context) {
-	for ctx.Err() == nil && !f.config.Watches() {
+	for ctx.Err() == nil && !f.config.IsWatcher() {
 		timer := time.NewTimer(min(roleCheckInterval, f.untilTick()))
 		select {
 		case hint := <-f.hints:
@@ -318,7 +318,7 @@
 	for _, address := range hint.Peers {
 		after := f.Revision()
 		if hint.Revision <= after {
-			if !hint.Newer || found {
+			if !hint.HasNewerWrites || found {
 				break
 			}
 			after = 0 // all objects: newer writes may have lower revisions
@@ -367,19 +367,19 @@
 
 // batchChanges delays the next watch after changes, so that it brings more of them.
 func (f *Follower) batchChanges(ctx context.Context, changes int) {
-	if changes == 0 || f.config.Settle == nil {
+	if changes == 0 || f.config.BatchInterval == nil {
 		return
 	}
-	if interval := f.config.Settle(); interval > 0 {
+	if interval := f.config.BatchInterval(); interval > 0 {
 		f.pause(ctx, batchDelay(interval, f.watcherCount()))
 	}
 }
 
 func (f *Follower) watcherCount() int {
-	if f.config.Watchers == nil {
+	if f.config.WatcherCount == nil {
 		return 1
 	}
-	return f.config.Watchers()
+	return f.config.WatcherCount()
 }
 
 // idleTickInterval is the timer interval when no tick is due.
@@ -425,5 +425,5 @@
 	revision := f.Revision()
 	objects := f.mirror.Objects()
 	f.peerState.Store(f.mirror.peerState(objects, revision))
-	f.config.Apply(objects, revision)
+	f.config.OnChange(objects, revision)
 }
--- a/member/agent.go
+++ b/member/agent.go
@@ -51,13 +51,13 @@
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer // nil: no metrics
 
-	// OnConfigNews is called for a configuration newer than the announced one, again
+	// OnConfigUpdate is called for a configuration newer than the announced one, again
 	// with each message until AnnounceConfig has been called for it.
-	OnConfigNews func(ConfigNews)
-	// OnBackendNews is called once for each incarnation of a backend server that leaves.
-	OnBackendNews func(BackendNews)
+	OnConfigUpdate func(ConfigUpdate)
+	// OnBackendUpdate is called once for each incarnation of a backend server that leaves.
+	OnBackendUpdate func(BackendUpdate)
 	// OnSuspectRequest is called once for each suspected request.
-	OnSuspectRequest func(SuspectRequestNews)
+	OnSuspectRequest func(SuspectRequestUpdate)
 	// OnView is called with each published view.
 	OnView func(*View)
 	// OnReplaced is called once when another process runs under this host's ID:
@@ -117,8 +117,8 @@
 // Incarnation is this host's incarnation. It can rise until Joined; see Membership.
 func (a *Agent) Incarnation() ident.Incarnation { return ident.Incarnation(a.incarnation.Load()) }
 
-// PeerHeardAt is when a peer last answered a call of this host; zero: never.
-func (a *Agent) PeerHeardAt() time.Time {
+// LastPeerContact is when a peer last answered a call of this host; zero: never.
+func (a *Agent) LastPeerContact() time.Time {
 	unixNanos := a.lastPeerContact.Load()
 	if unixNanos == 0 {
 		return time.Time{}
@@ -131,7 +131,7 @@
 func (a *Agent) CutOff(now, storeHeardAt time.Time, after time.Duration) bool {
 	return CutOff(now, Contact{
 		StartedAt:        a.startedAt,
-		LastPeerContact:  a.PeerHeardAt(),
+		LastPeerContact:  a.LastPeerContact(),
 		LastStoreContact: storeHeardAt,
 		Minority:         a.View().Minority,
 	}, after)
@@ -148,12 +148,12 @@
 }
 
 // AnnounceBackend gossips that an incarnation of a backend server is leaving.
-func (a *Agent) AnnounceBackend(update BackendNews) {
+func (a *Agent) AnnounceBackend(update BackendUpdate) {
 	a.post(func(now time.Time, m *Membership) { m.AnnounceBackend(now, update) })
 }
 
 // AnnounceSuspectRequest gossips a request that was in flight at a crashed server.
-func (a *Agent) AnnounceSuspectRequest(update SuspectRequestNews) {
+func (a *Agent) AnnounceSuspectRequest(update SuspectRequestUpdate) {
 	a.post(func(now time.Time, m *Membership) { m.AnnounceSuspectRequest(now, update) })
 }
 
@@ -262,13 +262,13 @@
 
 func (a *Agent) deliver(received ReceivedUpdates) {
 	for _, update := range received.Configs {
-		if a.config.OnConfigNews != nil {
-			a.config.OnConfigNews(update)
+		if a.config.OnConfigUpdate != nil {
+			a.config.OnConfigUpdate(update)
 		}
 	}
 	for _, update := range received.Backends {
-		if a.config.OnBackendNews != nil {
-			a.config.OnBackendNews(update)
+		if a.config.OnBackendUpdate != nil {
+			a.config.OnBackendUpdate(update)
 		}
 	}
 	for _, update := range received.Suspects {
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -20,9 +20,9 @@
 	maxCorrections = 8
 )
 
-// ConfigNews says which configuration and store revisions the host From has. The
+// ConfigUpdate says which configuration and store revisions the host From has. The
 // configuration can be fetched from it.
-type ConfigNews struct {
+type ConfigUpdate struct {
 	From         ident.HostID
 	FromAddress  string // IP and port of From's peer listener
 	Generation   uint64
@@ -62,14 +62,14 @@
 	}
 }
 
-// BackendNews says that an incarnation of a backend server is leaving or gone.
-type BackendNews struct {
+// BackendUpdate says that an incarnation of a backend server is leaving or gone.
+type BackendUpdate struct {
 	Server      string
 	Incarnation uint64
 }
 
-// SuspectRequestNews says that a request was in flight at a server that crashed.
-type SuspectRequestNews struct {
+// SuspectRequestUpdate says that a request was in flight at a server that crashed.
+type SuspectRequestUpdate struct {
 	Fingerprint       uint64
 	Server            string
 	ServerIncarnation uint64
@@ -78,9 +78,9 @@
 
 // ReceivedUpdates holds received updates for users of this package.
 type ReceivedUpdates struct {
-	Configs  []ConfigNews // newer than what this host has announced
-	Backends []BackendNews
-	Suspects []SuspectRequestNews
+	Configs  []ConfigUpdate // newer than what this host has announced
+	Backends []BackendUpdate
+	Suspects []SuspectRequestUpdate
 }
 
 // TakeReceived returns the updates received since the last call.
@@ -122,13 +122,13 @@
 }
 
 // AnnounceBackend gossips that an incarnation of a backend server is leaving.
-func (m *Membership) AnnounceBackend(now time.Time, update BackendNews) {
+func (m *Membership) AnnounceBackend(now time.Time, update BackendUpdate) {
 	m.detectPause(now)
 	m.enqueueBackend(now, &memberpb.BackendNews{Server: update.Server, Incarnation: update.Incarnation})
 }
 
 // AnnounceSuspectRequest gossips a suspected request.
-func (m *Membership) AnnounceSuspectRequest(now time.Time, update SuspectRequestNews) {
+func (m *Membership) AnnounceSuspectRequest(now time.Time, update SuspectRequestUpdate) {
 	m.detectPause(now)
 	m.enqueueRequest(now, &memberpb.SuspectRequestNews{
 		Fingerprint:       update.Fingerprint,
@@ -306,7 +306,7 @@
 	}
 	for _, backend := range gossip.GetBackends() {
 		if m.enqueueBackend(now, backend) {
-			m.received.Backends = append(m.received.Backends, BackendNews{backend.Server, backend.Incarnation})
+			m.received.Backends = append(m.received.Backends, BackendUpdate{backend.Server, backend.Incarnation})
 		}
 	}
 	for _, request := range gossip.GetSuspects() {
@@ -317,8 +317,8 @@
 	m.applyConfig(sender, gossip.GetConfig())
 }
 
-func suspectFromWire(update *memberpb.SuspectRequestNews) SuspectRequestNews {
-	return SuspectRequestNews{
+func suspectFromWire(update *memberpb.SuspectRequestNews) SuspectRequestUpdate {
+	return SuspectRequestUpdate{
 		Fingerprint:       update.Fingerprint,
 		Server:            update.Server,
 		ServerIncarnation: update.ServerIncarnation,
@@ -336,7 +336,7 @@
 	if r == nil {
 		return
 	}
-	m.received.Configs = append(m.received.Configs, ConfigNews{
+	m.received.Configs = append(m.received.Configs, ConfigUpdate{
 		From:         r.ID,
 		FromAddress:  r.PeerAddress,
 		Generation:   update.Generation,
