--- a/member/agent.go
+++ b/member/agent.go
@@ -126,15 +126,15 @@
 	return time.Unix(0, unixNanos)
 }
 
-// CutOff reports whether new requests must be refused as not run. storeHeardAt is
-// when the platform's store last answered; zero: never.
-func (a *Agent) CutOff(now, storeHeardAt time.Time, after time.Duration) bool {
+// CutOff reports whether new requests must be refused as not run; see the function
+// CutOff. lastStoreContact is when the platform's store last answered; zero: never.
+func (a *Agent) CutOff(now, lastStoreContact time.Time, timeout time.Duration) bool {
 	return CutOff(now, Contact{
 		StartedAt:        a.startedAt,
 		LastPeerContact:  a.LastPeerContact(),
-		LastStoreContact: storeHeardAt,
+		LastStoreContact: lastStoreContact,
 		Minority:         a.View().Minority,
-	}, after)
+	}, timeout)
 }
 
 // AnnounceConfig gossips the configuration that this host has in force.
@@ -143,8 +143,8 @@
 }
 
 // AnnounceStore gossips the store revisions that this host has applied.
-func (a *Agent) AnnounceStore(known StoreRevisions) {
-	a.post(func(now time.Time, m *Membership) { m.AnnounceStore(now, known) })
+func (a *Agent) AnnounceStore(revisions StoreRevisions) {
+	a.post(func(now time.Time, m *Membership) { m.AnnounceStore(now, revisions) })
 }
 
 // AnnounceBackend gossips that an incarnation of a backend server is leaving.
--- a/member/broadcast.go
+++ b/member/broadcast.go
@@ -140,25 +140,25 @@
 // fieldOverhead is the size of the tag and length of an embedded message, in bytes.
 const fieldOverhead = 2
 
-func (it *broadcast) addTo(gossip *memberpb.News, now time.Time) int {
+func (b *broadcast) addTo(gossip *memberpb.News, now time.Time) int {
 	var size int
-	switch it.key.kind {
+	switch b.key.kind {
 	case hostUpdate:
-		entry := it.host.update(now)
+		entry := b.host.update(now)
 		gossip.Hosts = append(gossip.Hosts, entry)
 		size = proto.Size(entry)
 	case backendUpdate:
-		gossip.Backends = append(gossip.Backends, it.backend)
-		size = proto.Size(it.backend)
+		gossip.Backends = append(gossip.Backends, b.backend)
+		size = proto.Size(b.backend)
 	case requestUpdate:
-		gossip.Suspects = append(gossip.Suspects, it.request)
-		size = proto.Size(it.request)
+		gossip.Suspects = append(gossip.Suspects, b.request)
+		size = proto.Size(b.request)
 	}
 	return size + fieldOverhead
 }
 
-func (it *broadcast) removeFrom(gossip *memberpb.News) {
-	switch it.key.kind {
+func (b *broadcast) removeFrom(gossip *memberpb.News) {
+	switch b.key.kind {
 	case hostUpdate:
 		gossip.Hosts = gossip.Hosts[:len(gossip.Hosts)-1]
 	case backendUpdate:
--- a/member/config.go
+++ b/member/config.go
@@ -44,7 +44,7 @@
 	// pauseThreshold is the gap between entry points that means a pause of the process:
 	// NextDue is never further away than ProbeInterval.
 	pauseThreshold = 1500 * time.Millisecond
-	// isolationTimeout is the time without a reply after which a host takes itself for isolated.
+	// isolationTimeout is the time without a reply after which a host is isolated.
 	isolationTimeout = 2 * time.Second
 	// suspicionPerDoubling lengthens the suspicion timeout with the fleet's size,
 	// because suspicions and refutations take longer to reach every host.
--- a/member/cutoff.go
+++ b/member/cutoff.go
@@ -12,10 +12,9 @@
 }
 
 // CutOff reports whether the host must refuse new requests as not run, because it
-// can't learn of a newer configuration. That is so if for the timeout neither the
-// store nor a peer has answered a call of this host, or only peers have and half
-// of the own region's hosts or more are lost. Requests of peers don't count as
-// contact, since they still arrive over a link that works in one direction only.
+// can't learn of a newer configuration: within the timeout neither the store nor a
+// peer has answered its calls, or only peers have while it is in a minority. Requests
+// from peers are no contact, since they also arrive over a one-way link.
 func CutOff(now time.Time, contact Contact, timeout time.Duration) bool {
 	recent := func(at time.Time) bool { return now.Sub(at) <= timeout }
 	if recent(contact.LastStoreContact) {
--- a/member/dedup.go
+++ b/member/dedup.go
@@ -15,39 +15,39 @@
 	at  time.Time
 }
 
-func newDedupCache[K comparable, V any](keep time.Duration, limit int) *dedupCache[K, V] {
-	return &dedupCache[K, V]{ttl: keep, limit: limit, entries: make(map[K]V)}
+func newDedupCache[K comparable, V any](ttl time.Duration, limit int) *dedupCache[K, V] {
+	return &dedupCache[K, V]{ttl: ttl, limit: limit, entries: make(map[K]V)}
 }
 
 // add stores the entry and reports whether the key is new.
-func (r *dedupCache[K, V]) add(now time.Time, key K, value V) bool {
-	if _, known := r.entries[key]; known {
+func (c *dedupCache[K, V]) add(now time.Time, key K, value V) bool {
+	if _, known := c.entries[key]; known {
 		return false
 	}
-	r.entries[key] = value
-	r.order = append(r.order, timedKey[K]{key: key, at: now})
-	r.expire(now)
+	c.entries[key] = value
+	c.order = append(c.order, timedKey[K]{key: key, at: now})
+	c.expire(now)
 	return true
 }
 
-func (r *dedupCache[K, V]) expire(now time.Time) {
+func (c *dedupCache[K, V]) expire(now time.Time) {
 	drop := 0
-	for drop < len(r.order) {
-		old := now.Sub(r.order[drop].at) > r.ttl
-		if !old && len(r.order)-drop <= r.limit {
+	for drop < len(c.order) {
+		old := now.Sub(c.order[drop].at) > c.ttl
+		if !old && len(c.order)-drop <= c.limit {
 			break
 		}
-		delete(r.entries, r.order[drop].key)
+		delete(c.entries, c.order[drop].key)
 		drop++
 	}
 	if drop > 0 {
-		r.order = append(r.order[:0], r.order[drop:]...)
+		c.order = append(c.order[:0], c.order[drop:]...)
 	}
 }
 
 // each calls f for each entry, oldest first.
-func (r *dedupCache[K, V]) each(f func(V)) {
-	for _, entry := range r.order {
-		f(r.entries[entry.key])
+func (c *dedupCache[K, V]) each(f func(V)) {
+	for _, entry := range c.order {
+		f(c.entries[entry.key])
 	}
 }
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -102,13 +102,13 @@
 
 // AnnounceStore gossips the store revisions that this host has applied. Lower ones
 // are ignored.
-func (m *Membership) AnnounceStore(now time.Time, known StoreRevisions) {
+func (m *Membership) AnnounceStore(now time.Time, revisions StoreRevisions) {
 	m.detectPause(now)
 	before := storeFromWire(m.announced)
-	if !known.newerThan(before) {
+	if !revisions.newerThan(before) {
 		return
 	}
-	m.announceRevisions(now, m.announced.GetGeneration(), m.announced.GetManifestHash(), known.max(before))
+	m.announceRevisions(now, m.announced.GetGeneration(), m.announced.GetManifestHash(), revisions.max(before))
 }
 
 func (m *Membership) announceRevisions(now time.Time, generation uint64, manifestHash []byte, store StoreRevisions) {
--- a/member/membership.go
+++ b/member/membership.go
@@ -116,9 +116,9 @@
 // Counters returns the running totals.
 func (m *Membership) Counters() Counters { return m.counters }
 
-// detectPause is called by every entry point. After a pause of this process all
-// timers have expired, and live hosts would be declared dead: it discards the
-// pending probes and restarts the suspicion timeouts.
+// detectPause is called first by each entry point with a time. After a pause of this
+// process all timers have expired, and live hosts would be declared dead, so it discards
+// the pending probes and restarts the suspicion timeouts.
 func (m *Membership) detectPause(now time.Time) {
 	gap := now.Sub(m.lastEntryAt)
 	m.lastEntryAt = now
@@ -137,8 +137,7 @@
 	return m.config.suspicionTimeout(len(m.records) - len(m.dead))
 }
 
-// isIsolated reports whether no peer has answered this host of late. It then
-// declares no host dead; see expireSuspicions.
+// isIsolated reports whether no peer has answered this host within isolationTimeout.
 func (m *Membership) isIsolated(now time.Time) bool {
 	last := m.lastPeerContact
 	if last.IsZero() {
--- a/member/neighbors.go
+++ b/member/neighbors.go
@@ -14,8 +14,8 @@
 	maxRandomDraws = 64
 )
 
-// nextProbeTarget returns the neighbors round-robin, shuffled before each round, so
-// that each is probed within a bounded time and hosts don't probe in step.
+// nextProbeTarget returns the priority target or the next neighbor, round-robin. The
+// neighbors are shuffled before each round, so that hosts don't probe in step.
 func (m *Membership) nextProbeTarget() *record {
 	if r := m.priorityTarget; r != nil {
 		m.priorityTarget = nil
--- a/member/probe.go
+++ b/member/probe.go
@@ -212,7 +212,7 @@
 }
 
 // probeFailed suspects the target of a probe that got no reply. A leaving host is
-// taken for gone.
+// declared gone at once.
 func (m *Membership) probeFailed(now time.Time, p *probe) {
 	r := p.target
 	if r == nil {
