--- a/discover/compress.go
+++ b/discover/compress.go
@@ -20,15 +20,15 @@
 	compressed []byte
 }
 
-// minCompressBytes is the size in bytes from which values are compressed. Servers' entries are
+// minCompressBytes is the size from which values are compressed. Servers' entries are
 // smaller, and not worth a compressor each.
 const minCompressBytes = 4 << 10
 
-func (p *compressor) compress(object metastore.Object) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.key == object.Key && p.revision == object.Revision {
-		return p.compressed, nil
+func (c *compressor) compress(object metastore.Object) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.key == object.Key && c.revision == object.Revision {
+		return c.compressed, nil
 	}
 	var compressed bytes.Buffer
 	w := gzip.NewWriter(&compressed)
@@ -38,12 +38,12 @@
 	if err := w.Close(); err != nil {
 		return nil, errors.Wrap(err, "pack")
 	}
-	p.key, p.revision, p.compressed = object.Key, object.Revision, compressed.Bytes()
-	return p.compressed, nil
+	c.key, c.revision, c.compressed = object.Key, object.Revision, compressed.Bytes()
+	return c.compressed, nil
 }
 
-func decompress(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
--- a/discover/follower.go
+++ b/discover/follower.go
@@ -41,8 +41,8 @@
 	// Joined reports whether a peer has answered this host, and so sent its
 	// revisions; nil: unknown.
 	Joined func() bool
-	// AllowStaleFirstList allows a stale read for the first list, which every host reads when a
-	// fleet starts. The first watch brings later changes.
+	// AllowStaleFirstList allows a stale read for the first list, which every host reads
+	// when a fleet starts. The first watch brings later changes.
 	AllowStaleFirstList bool
 	// BatchInterval returns how long changes are batched before the next watch, which limits
 	// the calls while many servers start; nil or 0: not at all. It is longer where
@@ -166,9 +166,8 @@
 	return ctx.Err()
 }
 
-// firstWatchDelay is the delay between the first list and the first watch. When a
-// whole fleet starts at once, each host takes itself for a watcher until the hosts
-// know each other; by then most follow their peers.
+// firstWatchDelay is the delay between the first list and the first watch. When a whole
+// fleet starts at once, each host is a watcher until the hosts know each other.
 const firstWatchDelay = 700 * time.Millisecond
 
 const (
@@ -311,7 +310,8 @@
 	}
 }
 
-// askPeers applies changes from the hint's peers and reports whether the revision advanced.
+// askPeers applies changes from the hint's peers and reports whether the revision
+// advanced.
 func (f *Follower) askPeers(ctx context.Context, hint Hint) bool {
 	before := f.Revision()
 	found := false // newer writes were applied
--- a/discover/intervals.go
+++ b/discover/intervals.go
@@ -16,8 +16,8 @@
 	// watching host, while only the first of them to learn of a change matters.
 	watchersPerTimeout = 4
 	watchersPerBatch   = 3
-	// maxWatchStretch keeps a host that has lost all others from taking itself for cut
-	// off during a watch.
+	// maxWatchStretch keeps a host that has lost all others from being cut off during a
+	// watch.
 	maxWatchStretch = 2
 	// maxBatchStretch lets a host that has lost all others learn of a leaving server
 	// within a second.
--- a/discover/mirror.go
+++ b/discover/mirror.go
@@ -69,10 +69,9 @@
 	return changed
 }
 
-// startRemovals restarts the record of removals at the first complete list, and at the first one
-// of each era of the store. Peers behind that revision get all objects, since older
-// removals are unknown. After a restore, writers repeat the writes that the store
-// has lost, so removals are deferred.
+// startRemovals restarts the record of removals at the first complete list, and at the
+// first one of each era. Peers behind that revision get all objects, since older removals
+// are unknown. After a restore, writers repeat lost writes, so removals are deferred.
 func (m *Mirror) startRemovals(now time.Time, revision metastore.Revision) {
 	restored := m.hasList && revision.Era() != m.removalsSince.Era()
 	if m.hasList && !restored {
@@ -159,8 +158,8 @@
 // maxRemovals bounds the recorded removals. Peers further behind get all objects.
 const maxRemovals = 4096
 
-// recordRemoval records a removal for peers. It is called when the removal is received, even
-// if it is deferred: peers that reach the revision later would never learn of it.
+// recordRemoval records a removal for peers. It is called at once, even if the removal is
+// deferred, since peers that have reached the revision never ask for it again.
 func (m *Mirror) recordRemoval(key string, revision metastore.Revision) {
 	if len(m.removals) >= maxRemovals {
 		clear(m.removals)
@@ -174,8 +173,8 @@
 	delete(m.objects, key)
 }
 
-// DeferRemovals defers removals until the given time, because the peer that reported them has
-// just regained the store.
+// DeferRemovals defers removals until the given time, because the peer that reported them
+// defers them too.
 func (m *Mirror) DeferRemovals(until time.Time) {
 	if until.After(m.deferUntil) {
 		m.deferUntil = until
--- a/discover/peerstate.go
+++ b/discover/peerstate.go
@@ -11,7 +11,7 @@
 	revision metastore.Revision
 	objects  []metastore.Object
 	// removed holds the revision of each removal; it is complete for removals
-	// after since.
+	// after removedSince.
 	removed      map[string]metastore.Revision
 	removedSince metastore.Revision
 	// finalAt is when removals become final; see Mirror.StoreLost.
@@ -28,19 +28,19 @@
 	deferFor time.Duration
 }
 
-// changesAfter returns the changes after a revision, or all objects if removals after it have
-// been forgotten.
-func (k *peerState) changesAfter(revision metastore.Revision) changes {
-	if revision < k.removedSince || revision == 0 {
-		return changes{revision: k.revision, complete: true, objects: k.objects}
+// changesAfter returns the changes after a revision, or all objects if removals after
+// it have been discarded.
+func (s *peerState) changesAfter(revision metastore.Revision) changes {
+	if revision < s.removedSince || revision == 0 {
+		return changes{revision: s.revision, complete: true, objects: s.objects}
 	}
-	c := changes{revision: k.revision}
-	for _, object := range k.objects {
+	c := changes{revision: s.revision}
+	for _, object := range s.objects {
 		if object.Revision > revision {
 			c.objects = append(c.objects, object)
 		}
 	}
-	for key, at := range k.removed {
+	for key, at := range s.removed {
 		if at > revision {
 			c.removed = append(c.removed, key)
 		}
--- a/discover/relay.go
+++ b/discover/relay.go
@@ -42,33 +42,33 @@
 	if f == nil {
 		return nil, errors.Errorf("discover: nothing is followed below %q", request.GetPrefix())
 	}
-	known, after := f.peerState.Load(), metastore.Revision(request.GetAfter())
-	if known == nil || known.revision <= after {
+	state, after := f.peerState.Load(), metastore.Revision(request.GetAfter())
+	if state == nil || state.revision <= after {
 		return &discoverpb.ChangesReply{}, nil
 	}
-	changes := known.changesAfter(after)
+	changes := state.changesAfter(after)
 	reply := &discoverpb.ChangesReply{Revision: uint64(changes.revision), Whole: changes.complete, Removed: changes.removed}
-	if doubt := known.finalAt.Sub(f.config.Now()); doubt > 0 {
-		reply.DoubtMs = uint32(doubt.Milliseconds())
+	if remaining := state.finalAt.Sub(f.config.Now()); remaining > 0 {
+		reply.DoubtMs = uint32(remaining.Milliseconds())
 	}
 	for _, object := range changes.objects {
 		sent := &discoverpb.Object{
 			Key: object.Key, Value: object.Value, Version: object.Version, Revision: uint64(object.Revision),
 		}
 		if len(object.Value) >= minCompressBytes {
-			packed, err := r.compressor.compress(object)
+			compressed, err := r.compressor.compress(object)
 			if err != nil {
 				return nil, err
 			}
-			sent.Value, sent.Packed = packed, true
+			sent.Value, sent.Packed = compressed, true
 		}
 		reply.Objects = append(reply.Objects, sent)
 	}
 	return reply, nil
 }
 
-// fetchChanges gets the changes after a revision from a peer; revision 0 in the reply: the peer
-// has none.
+// fetchChanges gets the changes after a revision from a peer; they have revision 0 if
+// there are none.
 func (r *Relay) fetchChanges(ctx context.Context, address, prefix string, after metastore.Revision) (changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
--- a/discover/start_test.go
+++ b/discover/start_test.go
@@ -34,8 +34,8 @@
 	return s.Store.Watch(ctx, prefix, after)
 }
 
-// Guards against needless calls while a fleet starts and each host takes itself for a
-// watcher until it knows the others: a host must make one stale list and no watch.
+// Guards against needless calls while a fleet starts and each host is a watcher until it
+// knows the others: a host must make one stale list and no watch.
 func TestStartingHostMakesNoWatchBeforeItFollowsPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
