--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -201,9 +201,9 @@
 		}
 		after = next
 	}
-	read, cancel := context.WithTimeout(ctx, callTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	objects, _, err := a.config.Store.List(read, SnapshotPrefix)
+	objects, _, err := a.config.Store.List(readCtx, SnapshotPrefix)
 	a.notePlatformReply(err)
 	if err != nil {
 		return after, err
@@ -218,9 +218,9 @@
 }
 
 func (a *Agent) awaitChange(ctx context.Context, after metastore.Revision) (metastore.Revision, error) {
-	watch, cancel := context.WithTimeout(ctx, watchTimeout)
+	watchCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	_, next, err := a.config.Store.Watch(watch, SnapshotPrefix, after)
+	_, next, err := a.config.Store.Watch(watchCtx, SnapshotPrefix, after)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return after, nil
 	}
--- a/catalog/follow.go
+++ b/catalog/follow.go
@@ -94,18 +94,18 @@
 }
 
 func (a *Agent) noteContact(ago time.Duration) {
-	heard := time.Now().Add(-ago)
-	if heard.After(a.LastContact()) {
-		a.lastContact.Store(heard.UnixNano())
+	contact := time.Now().Add(-ago)
+	if contact.After(a.LastContact()) {
+		a.lastContact.Store(contact.UnixNano())
 	}
 }
 
 func changesFromReply(reply *catalogpb.ChangesReply) Changes {
-	c := Changes{Epoch: reply.GetEpoch(), Sequence: reply.GetSequence(), Complete: reply.GetWhole(), More: reply.GetMore()}
+	changes := Changes{Epoch: reply.GetEpoch(), Sequence: reply.GetSequence(), Complete: reply.GetWhole(), More: reply.GetMore()}
 	for _, item := range reply.GetItems() {
-		c.Items = append(c.Items, Item{Key: item.GetKey(), Value: item.GetValue()})
+		changes.Items = append(changes.Items, Item{Key: item.GetKey(), Value: item.GetValue()})
 	}
-	return c
+	return changes
 }
 
 // Register registers the catalog service for peers.
@@ -122,8 +122,8 @@
 	changes := a.log.ChangesSince(request.GetEpoch(), request.GetSequence(), pageBytes)
 	a.mu.Unlock()
 	reply := &catalogpb.ChangesReply{Epoch: changes.Epoch, Sequence: changes.Sequence, Whole: changes.Complete, More: changes.More, HeardAgoMs: neverReached}
-	if heard := a.LastContact(); !heard.IsZero() {
-		reply.HeardAgoMs = max(time.Since(heard).Milliseconds(), 0)
+	if lastContact := a.LastContact(); !lastContact.IsZero() {
+		reply.HeardAgoMs = max(time.Since(lastContact).Milliseconds(), 0)
 	}
 	for _, item := range changes.Items {
 		reply.Items = append(reply.Items, &catalogpb.Item{Key: item.Key, Value: item.Value})
--- a/catalog/log.go
+++ b/catalog/log.go
@@ -137,7 +137,7 @@
 	sequence uint64
 }
 
-func (l *Log) changedAfter(sequence uint64, whole bool) []sequencedItem {
+func (l *Log) changedAfter(sequence uint64, complete bool) []sequencedItem {
 	var changed []sequencedItem
 	for key, item := range l.items {
 		if item.sequence > sequence {
@@ -145,7 +145,7 @@
 		}
 	}
 	for key, at := range l.removals {
-		if at > sequence && !whole {
+		if at > sequence && !complete {
 			changed = append(changed, sequencedItem{Item{Key: key}, at})
 		}
 	}
--- a/catalog/serverlist.go
+++ b/catalog/serverlist.go
@@ -30,7 +30,7 @@
 	listedAt time.Time // of the last list that named it
 }
 
-// NewServerList returns an empty Listing.
+// NewServerList returns an empty ServerList.
 func NewServerList() *ServerList { return &ServerList{servers: make(map[string]listedServer)} }
 
 // Update applies a reading of the host list and returns the servers, sorted by name.
