--- a/gateway/advise.go
+++ b/gateway/advise.go
@@ -5,26 +5,26 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// Asker is a caller that asks which hosts to use.
+// Asker describes a caller that asks which hosts to use.
 type Asker struct {
-	Host   string // host name that its requests will state
-	Region string // its own; empty: not known
+	Host   string // host name in its requests
+	Region string // empty if unknown
 }
 
-// Advise names the hosts that the caller should use, by the callers' address.
-func (g *Gateway) Advise(asker Asker) []string {
+// Advise returns the caller-facing addresses of the hosts that the caller should use.
+func (g *Gateway) Advise(request Asker) []string {
 	var addresses []string
-	for _, host := range g.carriersFor(asker) {
+	for _, host := range g.hostsFor(request) {
 		addresses = append(addresses, host.CallerAddress)
 	}
 	return addresses
 }
 
-func (g *Gateway) carriersFor(asker Asker) []member.Host {
+func (g *Gateway) hostsFor(request Asker) []member.Host {
 	view, servers := g.members.View(), g.serversByZone()
-	for _, regions := range entry.RegionOrder(asker.Region, g.boundTo(asker.Host), g.servesIn) {
-		if within := entry.InRegion(view, regions...); len(within.Hosts) > 0 {
-			if chosen := entry.Carriers(within, servers); len(chosen) > 0 {
+	for _, regions := range entry.RegionOrder(request.Region, g.regionsFor(request.Host), g.hasServersIn) {
+		if regional := entry.InRegion(view, regions...); len(regional.Hosts) > 0 {
+			if chosen := entry.Carriers(regional, servers); len(chosen) > 0 {
 				return chosen
 			}
 		}
@@ -32,16 +32,17 @@
 	return entry.Carriers(view, servers)
 }
 
-// boundTo are the regions that requests with the host name are bound to; empty: none.
-func (g *Gateway) boundTo(host string) []string {
+// regionsFor returns the regions that requests with the host name are restricted to; empty
+// if they are not restricted.
+func (g *Gateway) regionsFor(host string) []string {
 	if c := g.inForce.Load(); c != nil {
 		return c.table.Regions(host)
 	}
 	return nil
 }
 
-// servesIn reports whether backend servers in service stand in the region.
-func (g *Gateway) servesIn(region string) bool {
+// hasServersIn reports whether any backend server in service is in the region.
+func (g *Gateway) hasServersIn(region string) bool {
 	for zone, servers := range g.serversByZone() {
 		if servers > 0 && g.options.Regions[zone] == region {
 			return true
@@ -50,10 +51,10 @@
 	return false
 }
 
-// serversByZone counts the backend servers of each availability zone.
+// serversByZone returns the number of backend servers in each availability zone.
 func (g *Gateway) serversByZone() map[string]int {
-	if known := g.zones.Load(); known != nil {
-		return *known
+	if counts := g.zoneServers.Load(); counts != nil {
+		return *counts
 	}
 	return nil
 }
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -10,29 +10,28 @@
 	"github.com/goldcrestspan/goldcrestspan/backend"
 )
 
-// loggedRunner writes a line for each attempt that gave no answer, other than
-// those that were cancelled since their answer was no longer needed. With the
-// line of the whole request they lead from its id to the server at fault.
-type loggedRunner struct {
-	runner backend.Runner
-	log    *zap.Logger
-	now    func() time.Time
-	count  *atomic.Int64 // of all attempts
+// loggingRunner logs each failed attempt, except cancelled ones, so that a request id leads
+// to the server at fault.
+type loggingRunner struct {
+	runner   backend.Runner
+	log      *zap.Logger
+	now      func() time.Time
+	attempts *atomic.Int64 // counts all attempts
 }
 
 // Run implements backend.Runner.
-func (r loggedRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
-	r.count.Add(1)
+func (r loggingRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+	r.attempts.Add(1)
 	started := r.now()
-	end := r.runner.Run(ctx, server, call)
-	if end.Fault == backend.FaultNone || end.Fault == backend.FaultCancelled {
-		return end
+	attempt := r.runner.Run(ctx, server, call)
+	if attempt.Fault == backend.FaultNone || attempt.Fault == backend.FaultCancelled {
+		return attempt
 	}
 	r.log.Info("attempt gave no answer",
 		zap.String("request", call.Forward.Attempt), zap.String("service", call.Service),
 		zap.String("server", server.Name), zap.String("address", server.Address),
-		zap.Stringer("fault", end.Fault), zap.Bool("not_run", end.Outcome.NotRun()),
-		zap.Int("server_running", end.Reply.Load.Running), zap.Int("server_waiting", end.Reply.Load.Queued),
+		zap.Stringer("fault", attempt.Fault), zap.Bool("not_run", attempt.Outcome.NotRun()),
+		zap.Int("server_running", attempt.Reply.Load.Running), zap.Int("server_waiting", attempt.Reply.Load.Queued),
 		zap.Duration("took", r.now().Sub(started)), zap.Duration("left", call.Deadline.Sub(r.now())))
-	return end
+	return attempt
 }
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Connection is what is learnt of one connection of a caller. Its methods are
-// safe for concurrent use; a nil Connection learns nothing.
+// Connection holds what is known about one caller connection. Its methods are safe for
+// concurrent use; a nil Connection records nothing.
 type Connection struct {
-	roundTrip atomic.Int64 // nanoseconds; 0: not known
+	roundTrip atomic.Int64 // nanoseconds; 0 if unknown
 }
 
-// learn notes the time that the connection's first request had used before it
-// was sent: opening a connection takes a round trip.
-func (c *Connection) learn(opened time.Duration) {
-	if c != nil && opened > 0 {
-		c.roundTrip.CompareAndSwap(0, int64(opened))
+// recordRoundTrip sets the round trip of the connection once, from the time that its first
+// request had used before it was sent: opening a connection takes one round trip.
+func (c *Connection) recordRoundTrip(elapsed time.Duration) {
+	if c != nil && elapsed > 0 {
+		c.roundTrip.CompareAndSwap(0, int64(elapsed))
 	}
 }
 
-func (c *Connection) way() time.Duration {
+func (c *Connection) rtt() time.Duration {
 	if c == nil {
 		return 0
 	}
@@ -28,53 +28,52 @@
 }
 
 const (
-	// budgetMemory is how long the longest time that callers of a class state is
-	// remembered at least: those that come back within their time are told from
-	// new ones by it, and operators change it.
-	budgetMemory = 10 * time.Second
-	// mostOpening is the longest that opening a connection is taken for; what has
-	// used more was sent before. It covers a round trip between regions.
-	mostOpening = 45 * time.Millisecond
+	// timeoutWindow is how long the longest stated timeout of a class is kept at least.
+	timeoutWindow = 10 * time.Second
+	// maxConnectTime is the longest elapsed time that is attributed to opening a connection;
+	// it covers a round trip between regions. Longer times mean that the caller retried.
+	maxConnectTime = 45 * time.Millisecond
 )
 
-// callerTimes tells how much of its time a caller had used when its request came.
-// Callers state what is left of it, and all callers of a class begin with the same.
-type callerTimes struct {
+// callerTimeouts estimates how much of its timeout a caller had used when its request
+// arrived. Callers state the remaining time, and all callers of a class start with the same
+// timeout.
+type callerTimeouts struct {
 	mu      sync.Mutex
-	classes map[string]*longest
+	classes map[string]*windowedMax
 }
 
-// longest is the longest time stated in this span and in the one before.
-type longest struct {
-	now, before time.Duration
-	since       time.Time
+// windowedMax is the maximum of the current and the previous window.
+type windowedMax struct {
+	current, previous time.Duration
+	start             time.Time
 }
 
-// used is the time that a caller of the class had used up, who has left what it
-// states; 0 when it states none.
-func (c *callerTimes) used(now time.Time, class string, left time.Duration) time.Duration {
-	if left <= 0 {
+// elapsed returns the time that a caller of the class has used, given its remaining time;
+// 0 if it states none.
+func (c *callerTimeouts) elapsed(now time.Time, class string, remaining time.Duration) time.Duration {
+	if remaining <= 0 {
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.classes == nil {
-		c.classes = make(map[string]*longest)
+		c.classes = make(map[string]*windowedMax)
 	}
-	l := c.classes[class]
-	if l == nil {
-		l = &longest{since: now}
-		c.classes[class] = l
+	window := c.classes[class]
+	if window == nil {
+		window = &windowedMax{start: now}
+		c.classes[class] = window
 	}
-	if now.Sub(l.since) >= budgetMemory {
-		l.before, l.now, l.since = l.now, 0, now
+	if now.Sub(window.start) >= timeoutWindow {
+		window.previous, window.current, window.start = window.current, 0, now
 	}
-	l.now = max(l.now, left)
-	return max(l.now, l.before) - left
+	window.current = max(window.current, remaining)
+	return max(window.current, window.previous) - remaining
 }
 
-// forget drops classes that are no longer configured.
-func (c *callerTimes) forget(configured map[string]time.Duration) {
+// prune drops classes that are no longer configured.
+func (c *callerTimeouts) prune(configured map[string]time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for class := range c.classes {
--- a/gateway/parts.go
+++ b/gateway/components.go
@@ -20,8 +20,8 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// built are the parts that the container makes.
-type built struct {
+// components are what the container builds.
+type components struct {
 	dig.In
 
 	Metrics      *observe.Metrics
@@ -31,14 +31,14 @@
 	Relay        *discover.Relay
 	StoreMetrics *discover.Metrics
 	Peers        *peer.Server
-	FarServer    *farServer
-	HomeLegs     *homeLegs
-	Told         *toldForecasts
+	ProxyServer  *proxyServer
+	HomeLegs     *homeLegRunner
+	Forecasts    *remoteForecasts
 	Evacuations  *evacuations
 	SharedHomes  *homes
 }
 
-// build wires the parts in one place; the container orders the constructors.
+// build constructs and connects the components; the container orders the constructors.
 func (g *Gateway) build() error {
 	container := dig.New()
 	for _, constructor := range []any{
@@ -50,15 +50,15 @@
 		discover.NewRelay,
 		discover.NewMetrics,
 		g.newMembers,
-		g.newFarRunner,
-		func() (*farServer, error) {
-			return newFarServer(loggedRunner{g.guard(g.options.Backends, g.mayPassOn), g.log, g.options.Now, &g.attempts})
+		g.newCrossZoneRunner,
+		func() (*proxyServer, error) {
+			return newProxyServer(loggingRunner{g.withEligibility(g.options.Backends, g.checkForPeer), g.log, g.options.Now, &g.attempts})
 		},
 		g.newHomes,
 		g.newSharedHomes,
 		newEvacuations,
-		newHomeLegs,
-		func() *toldForecasts { return newToldForecasts(g.options.Now) },
+		newHomeLegRunner,
+		func() *remoteForecasts { return newRemoteForecasts(g.options.Now) },
 		g.newCoordinators,
 	} {
 		if err := container.Provide(constructor); err != nil {
@@ -66,12 +66,12 @@
 		}
 	}
 	var storeMetrics *discover.Metrics
-	err := container.Invoke(func(b built) {
+	err := container.Invoke(func(b components) {
 		storeMetrics = b.StoreMetrics
 		g.metrics, g.members, g.homes = b.Metrics, b.Members, b.Homes
 		g.coordinators, g.relay = b.Coordinators, b.Relay
-		g.peers, g.farServer = b.Peers, b.FarServer
-		g.homeLegs, g.toldForecasts = b.HomeLegs, b.Told
+		g.peers, g.proxyServer = b.Peers, b.ProxyServer
+		g.homeLegRunner, g.remoteForecasts = b.HomeLegs, b.Forecasts
 		g.evacuations, g.sharedHomes = b.Evacuations, b.SharedHomes
 	})
 	if err != nil {
@@ -80,13 +80,13 @@
 	if err := g.members.Register(g.peers.Mux()); err != nil {
 		return err
 	}
-	legs := exchange.NewServer(peerLegs{far: g.farServer, homes: g.homeLegs}, g.options.Now)
-	legs.Forecast = g.homes.Forecast
-	if err := legs.Register(g.peers.Mux()); err != nil {
+	exchangeServer := exchange.NewServer(peerLegRunner{proxy: g.proxyServer, homes: g.homeLegRunner}, g.options.Now)
+	exchangeServer.Forecast = g.homes.Forecast
+	if err := exchangeServer.Register(g.peers.Mux()); err != nil {
 		return err
 	}
 	g.configs = g.newFollower(storeMetrics, g.options.ConfigKey, nil, g.applyConfigs)
-	g.servers = g.newFollower(storeMetrics, g.options.ServersPrefix, g.settleServers, g.applyServers)
+	g.servers = g.newFollower(storeMetrics, g.options.ServersPrefix, g.currentDebounce, g.applyServers)
 	followers := []*discover.Follower{g.configs, g.servers}
 	if g.options.EvacuationsPrefix != "" {
 		g.evacuationList = g.newFollower(storeMetrics, g.options.EvacuationsPrefix, nil, g.applyEvacuations)
@@ -115,99 +115,94 @@
 		Now:          g.options.Now,
 		Logger:       g.log,
 		Registerer:   registry,
-		OnConfigNews: g.heardNews,
+		OnConfigNews: g.handleConfigNews,
 	})
 }
 
-func (g *Gateway) newFarRunner(pool *peer.Pool, members *member.Agent, registry *prometheus.Registry) (*farRunner, error) {
-	parts, err := newFarParts(registry)
+func (g *Gateway) newCrossZoneRunner(pool *peer.Pool, members *member.Agent, registry *prometheus.Registry) (*crossZoneRunner, error) {
+	partsByPath, err := newCrossZoneCounter(registry)
 	if err != nil {
 		return nil, err
 	}
-	links := exchange.NewClient(g.live, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
-	links.Silence = farSilence
-	return &farRunner{direct: g.options.Backends, zone: g.options.Zone, view: members.View, load: g.load, links: links, log: g.log, parts: parts}, nil
+	links := exchange.NewClient(g.runCtx, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
+	links.Silence = peerLinkLiveness
+	return &crossZoneRunner{direct: g.options.Backends, zone: g.options.Zone, view: members.View, load: g.load, links: links, log: g.log, partsByPath: partsByPath}, nil
 }
 
-func (g *Gateway) newHomes(runner *farRunner, counters *observe.Metrics) *homeserver.Server {
-	homes := homeserver.New(loggedRunner{g.guard(runner, g.mayGet), g.log, g.options.Now, &g.attempts}, counters, noWatcher{}, g.options.Now, g.homesConfig)
+func (g *Gateway) newHomes(runner *crossZoneRunner, counters *observe.Metrics) *homeserver.Server {
+	homes := homeserver.New(loggingRunner{g.withEligibility(runner, g.checkOwn), g.log, g.options.Now, &g.attempts}, counters, noWatcher{}, g.options.Now, g.homesConfig)
 	homes.SetObserver(g.logServer)
-	homes.SetTune(g.tuneHome)
+	homes.SetTune(g.configureHome)
 	return homes
 }
 
-// setHedgeAges sets when classes of which too little is known are hedged.
-func (g *Gateway) setHedgeAges(classes []home.ClassSpec) {
+// setHedgeDelays sets the hedge delay of classes without enough latency samples.
+func (g *Gateway) setHedgeDelays(classes []home.ClassSpec) {
 	c := g.inForce.Load()
 	for i := range classes {
 		if c != nil {
-			classes[i].HedgeUnknown = time.Duration(hedgeUnknownPart * float64(c.targets[classes[i].Name]))
+			classes[i].HedgeUnknown = time.Duration(unknownClassHedgeFraction * float64(c.targets[classes[i].Name]))
 		}
 	}
 }
 
-// newSharedHomes makes the ways to the homes of large searches.
-func (g *Gateway) newSharedHomes(local *homeserver.Server, members *member.Agent, pool *peer.Pool, told *toldForecasts) *homes {
-	links := exchange.NewClient(g.live, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
-	links.Silence = farSilence
-	links.OnSilent = told.noteSilent
+// newSharedHomes creates the homes of large searches and the links to them.
+func (g *Gateway) newSharedHomes(local *homeserver.Server, members *member.Agent, pool *peer.Pool, forecasts *remoteForecasts) *homes {
+	links := exchange.NewClient(g.runCtx, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
+	links.Silence = peerLinkLiveness
+	links.OnSilent = forecasts.recordSilent
 	return &homes{
 		self: ident.HostID(g.options.Name), zone: g.options.Zone, local: local, view: members.View, zones: g.serversByZone, split: g.sharedServices,
-		links: links, told: told, log: g.log,
+		links: links, forecasts: forecasts, log: g.log,
 	}
 }
 
 func (g *Gateway) newCoordinators(shared *homes, local *homeserver.Server, counters *observe.Metrics) coordinators {
-	learn := func(string, string, []snapshot.Version) {}
+	ignoreHeld := func(string, string, []snapshot.Version) {}
 	return coordinators{
 		homes:  shared,
-		plain:  scatter.NewCoordinator(localHomes{self: shared.self, local: local}, counters, g.options.Now, learn),
-		shared: scatter.NewCoordinator(shared, counters, g.options.Now, learn),
+		plain:  scatter.NewCoordinator(localHomes{self: shared.self, local: local}, counters, g.options.Now, ignoreHeld),
+		shared: scatter.NewCoordinator(shared, counters, g.options.Now, ignoreHeld),
 	}
 }
 
-// coordinators run requests: those at this host's homes alone, and searches whose
-// services hosts share.
+// coordinators run requests: plain uses only this host's homes, shared spreads searches over
+// the homes of several hosts.
 type coordinators struct {
 	plain, shared *scatter.Coordinator
-	homes         *homes // of the shared ones
+	homes         *homes // used by shared
 }
 
-// of chooses the coordinator for a request.
+// of returns the coordinator for a request.
 func (c coordinators) of(work *scatter.Work) *scatter.Coordinator {
-	if work.Forward.Merge == nil || len(work.Body) > mostFarBody || !c.homes.allIn(work.Forward.Regions) {
+	if work.Forward.Merge == nil || len(work.Body) > maxProxiedBodyBytes || !c.homes.allInRegions(work.Forward.Regions) {
 		return c.plain
 	}
 	return c.shared
 }
 
 const (
-	// serversSettle gathers the servers' changes: fifty that start within a
-	// second cost each host a few calls, and a server that leaves has seconds.
-	serversSettle = 250 * time.Millisecond
-	// startSettle does so during the first startFor of a host.
-	//
-	// Load: a whole fleet starts, and with it its servers. Harm prevented: until
-	// its hosts know each other all of them watch, each change wakes each of
-	// them, and of the calls that a fleet of 83 makes in 48 s four of five fall
-	// into its first 4 s. Limit: a host that starts into a running fleet hears of
-	// changes from its peers meanwhile, and a server that leaves has seconds.
-	startSettle = time.Second
-	startFor    = 4 * time.Second
+	// serversDebounce is how long changes of the servers are collected before they are
+	// fetched.
+	serversDebounce = 250 * time.Millisecond
+	// startupDebounce applies during the startupPeriod of a host. While a whole fleet starts,
+	// all hosts watch the store, and each change of a server would wake each of them.
+	startupDebounce = time.Second
+	startupPeriod   = 4 * time.Second
 )
 
-// settleServers is how long changes of the servers are gathered now.
-func (g *Gateway) settleServers() time.Duration {
-	if g.options.Now().Sub(g.startedAt) < startFor {
-		return startSettle
+// currentDebounce returns how long changes of the servers are collected now.
+func (g *Gateway) currentDebounce() time.Duration {
+	if g.options.Now().Sub(g.startedAt) < startupPeriod {
+		return startupDebounce
 	}
-	return serversSettle
+	return serversDebounce
 }
 
 func (g *Gateway) newFollower(metrics *discover.Metrics, prefix string, settle func() time.Duration, apply func([]metastore.Object, metastore.Revision)) *discover.Follower {
 	return discover.NewFollower(discover.Config{
 		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, Apply: apply,
-		Relay: g.relay, Watches: g.watches, Watchers: g.watchers, Joined: g.members.Joined, Settle: settle, StaleStart: prefix != g.options.ConfigKey,
+		Relay: g.relay, Watches: g.isWatcher, Watchers: g.watcherCount, Joined: g.members.Joined, Settle: settle, StaleStart: prefix != g.options.ConfigKey,
 		Order: g.options.Decode.Order, Metrics: metrics,
 	})
 }
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -13,62 +13,52 @@
 )
 
 const (
-	// hedgeQuantile of the service time, past which a part of an answer is
-	// asked for a second time. With the budget below, hedges at this quantile
-	// are paid for without running dry.
+	// hedgeQuantile is the quantile of the service time after which a part is hedged.
 	hedgeQuantile = 0.92
-	// hedgePart and retryPart are the parts of the budget of extra arrivals
-	// that hedges and retries may use; the rest is headroom for hosts that
-	// count the requests of a service differently.
-	hedgePart = 0.56
-	retryPart = 0.25
-	// hedgeStart and retryStart are the parts of what hedges and retries may use at once
-	// that a host has when it starts.
-	//
-	// Load: all hosts were killed, and start again while callers wait. Harm prevented:
-	// without hedges each of the first searches lacks its slowest parts and comes at the
-	// last moment. Limit: what the lives before have spent counts too, so that both
-	// together keep the operator's bound.
-	hedgeStart, retryStart = 0.25, 0.6
-	// zoneCost is what a hop to a server in another availability zone counts
-	// for, in seconds of finish time: the way itself is a millisecond, the rest
-	// keeps the bytes, which the users pay for, within the zone while the near
-	// server has room.
-	zoneCost = 0.015
-	// warmAfter is how many answers a new server gives before it gets as much at
-	// once as the others. The users' servers are slow by 1.6 at first, and a
-	// service has two: keeping one of four slots idle for 16 answers lost more.
-	warmAfter = 1
-	// hedgeUnknownPart is the part of its target after which a class of which
-	// too little is known is hedged.
-	hedgeUnknownPart = 0.4
-	// defaultSlots stands in for a server that does not say what it serves at once.
-	defaultSlots = 2
-	// maxQueue bounds the waiting parts of one class at one service: a second
-	// of the work of two servers with two slots at 10 ms.
-	maxQueue = 400
+	// hedgeShare and retryShare are the shares of the extra-attempt budget for hedges and
+	// retries. The rest is headroom for hosts that count the requests of a service
+	// differently.
+	hedgeShare = 0.56
+	retryShare = 0.25
+	// hedgeInitialFill and retryInitialFill are how full the token buckets are at start: a
+	// fleet that restarts can hedge its first searches, and what the previous processes have
+	// spent in the same window still fits the operator's bound.
+	hedgeInitialFill, retryInitialFill = 0.25, 0.6
+	// crossZonePenaltySeconds is added to the expected finish time at servers in other
+	// zones: traffic between zones is billed, so it is avoided while a local server has
+	// capacity.
+	crossZonePenaltySeconds = 0.015
+	// warmAfterAnswers is how many answers a new server gives before it gets as much
+	// concurrent work as the others.
+	warmAfterAnswers = 1
+	// unknownClassHedgeFraction is the fraction of its target after which a class without
+	// enough latency samples is hedged.
+	unknownClassHedgeFraction = 0.4
+	// defaultSlotsPerServer is for servers that do not report their concurrency.
+	defaultSlotsPerServer = 2
+	// maxQueuedParts bounds the queued parts of one class at one service.
+	maxQueuedParts = 400
 )
 
-// Budget bounds the arrivals at a service beyond the first of each request,
-// summed over all hosts in any window.
+// Budget bounds the attempts at a service beyond the first of each request, summed over
+// all hosts in any window.
 type Budget struct {
-	Ratio  float64       // of the requests for the service
-	Slack  float64       // arrivals, whatever the load
-	Window time.Duration // 0: not known, and Slack is used once
+	Ratio  float64       // extra attempts per request
+	Slack  float64       // extra attempts regardless of load
+	Window time.Duration // 0 if unknown; Slack is then not replenished
 }
 
-// configuration is one version in the form that requests are served from. It
-// is immutable.
+// configuration is one compiled, immutable version of the operator's configuration.
 type configuration struct {
-	revision metastore.Revision // of the store
-	table    *route.Table
-	homes    *bundle.Config
-	shards   map[*route.Route]*snapshot.Snapshot
-	single   map[string]*snapshot.Snapshot // by service, for plain routes
-	targets  map[string]time.Duration      // by class
-	split    map[string]bool               // services of searches that are split
-	largest  int                           // services of the largest of these
-	// warmups are the services whose servers bear little while they are cold.
+	revision      metastore.Revision // in the store
+	table         *route.Table
+	compiled      *bundle.Config
+	shards        map[*route.Route]*snapshot.Snapshot
+	singleService map[string]*snapshot.Snapshot // by service, for routes to a single service
+	targets       map[string]time.Duration      // by class
+	isSplit       map[string]bool               // services of searches that are split between hosts
+	largestSplit  int                           // services of the largest split search
+	// warmups holds the services whose servers get limited load while they are cold.
 	warmups map[string]eligible.Warmup
 }
 
@@ -76,19 +66,19 @@
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	homes, err := bundle.Compile(config.Version, documents(config))
+	compiled, err := bundle.Compile(config.Version, bundleDocuments(config))
 	if err != nil {
 		return nil, err
 	}
 	c := &configuration{
-		revision: revision,
-		table:    route.NewTable(config),
-		homes:    homes,
-		shards:   make(map[*route.Route]*snapshot.Snapshot),
-		single:   make(map[string]*snapshot.Snapshot),
-		targets:  make(map[string]time.Duration),
-		split:    make(map[string]bool),
-		warmups:  make(map[string]eligible.Warmup),
+		revision:      revision,
+		table:         route.NewTable(config),
+		compiled:      compiled,
+		shards:        make(map[*route.Route]*snapshot.Snapshot),
+		singleService: make(map[string]*snapshot.Snapshot),
+		targets:       make(map[string]time.Duration),
+		isSplit:       make(map[string]bool),
+		warmups:       make(map[string]eligible.Warmup),
 	}
 	for _, service := range config.Services {
 		if service.Warmup.Bounded() {
@@ -100,25 +90,25 @@
 		c.targets[className(r)] = r.Target
 		if r.AsksAll() {
 			c.shards[r] = newSnapshot(config.Version, r.Shards)
-			c.noteSplit(r)
+			c.addSplit(r)
 		}
 		for _, share := range r.Shares {
-			c.single[share.Service] = newSnapshot(config.Version, []string{share.Service})
+			c.singleService[share.Service] = newSnapshot(config.Version, []string{share.Service})
 		}
 	}
 	return c, nil
 }
 
-// version is the operator's.
+// version returns the operator's version number.
 func (c *configuration) version() uint64 { return c.table.Config.Version }
 
-// names reports whether the configuration names the service.
-func (c *configuration) names(service string) bool {
-	_, named := c.homes.Service(service)
-	return named
+// hasService reports whether the configuration contains the service.
+func (c *configuration) hasService(service string) bool {
+	_, found := c.compiled.Service(service)
+	return found
 }
 
-// newSnapshot numbers the services as the shards of one version.
+// newSnapshot builds a snapshot whose shards are the services, in order.
 func newSnapshot(version uint64, services []string) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Version: snapshot.Version(version)}
 	for i, service := range services {
@@ -127,60 +117,59 @@
 	return s
 }
 
-// documents puts the operator's routes and services into the classes and
-// services that the homes know.
-func documents(config *route.Config) bundle.Documents {
+// bundleDocuments converts the operator's routes and services to the documents that the
+// homes are configured from.
+func bundleDocuments(config *route.Config) bundle.Documents {
 	var docs bundle.Documents
 	seen := make(map[string]bool)
 	for i := range config.Routes {
 		r := &config.Routes[i]
 		if name := className(r); !seen[name] {
 			seen[name] = true
-			docs.Classes = append(docs.Classes, bundle.Class{Name: name, MaxQueue: maxQueue})
+			docs.Classes = append(docs.Classes, bundle.Class{Name: name, MaxQueue: maxQueuedParts})
 		}
 	}
 	for _, service := range config.Services {
 		docs.Services = append(docs.Services, bundle.Service{
-			Name: service.Name, SlotsPerServer: defaultSlots, ConnectionsPerServer: service.Connections,
+			Name: service.Name, SlotsPerServer: defaultSlotsPerServer, ConnectionsPerServer: service.Connections,
 		})
 	}
 	docs.Policy.HedgeQuantile = hedgeQuantile
 	return docs
 }
 
-// className puts routes with the same priority and target into one class: their
-// requests are alike, and hundreds of routes share a few classes. The timeout is
-// left out: an operator changes it, and what was measured of the class is kept.
+// className groups routes by priority and target, so that hundreds of routes share a few
+// classes. The timeout is left out: a change of it must not reset the latency statistics.
 func className(r *route.Route) string {
 	return fmt.Sprintf("p%d-%v", r.Priority, r.Target)
 }
 
-// slackByTime is the part of a host's slack that is earned anew in each window; the
-// rest may be used at once. In a window no more than both are.
-const slackByTime = 0.4
+// slackRefillShare is the share of a host's slack that refills over each window; the rest is
+// burst. Together they never exceed the slack in a window.
+const slackRefillShare = 0.4
 
-// tune shares the budget of extra arrivals out: each host earns its own
-// requests' part, and the slack is divided by the hosts that may be advised at
-// once while their views differ.
-func (b Budget) tune(hosts int) func(*home.Config) {
+// homeOption returns a function that sets one host's share of the budget: the ratio applies
+// to each host's own requests, and the slack is divided by the hosts that may be advised at
+// the same time while their views differ.
+func (b Budget) homeOption(hosts int) func(*home.Config) {
 	slack := b.Slack / float64(max(hosts, 1))
 	rate := 0.0
 	if b.Window > 0 {
-		rate = slackByTime * slack / b.Window.Seconds()
-		slack *= 1 - slackByTime
+		rate = slackRefillShare * slack / b.Window.Seconds()
+		slack *= 1 - slackRefillShare
 	}
 	return func(config *home.Config) {
-		config.HedgeBudget = hedgePart * b.Ratio
-		config.RetryBudget = retryPart * b.Ratio
-		config.HedgeBurst = max(1, hedgePart*slack)
-		config.RetryBurst = max(1, retryPart*slack)
-		config.HedgeStart, config.RetryStart = hedgeStart, retryStart
-		config.HedgeRate = hedgePart * rate
-		config.RetryRate = retryPart * rate
+		config.HedgeBudget = hedgeShare * b.Ratio
+		config.RetryBudget = retryShare * b.Ratio
+		config.HedgeBurst = max(1, hedgeShare*slack)
+		config.RetryBurst = max(1, retryShare*slack)
+		config.HedgeStart, config.RetryStart = hedgeInitialFill, retryInitialFill
+		config.HedgeRate = hedgeShare * rate
+		config.RetryRate = retryShare * rate
 		config.ChargeRefusals = true
-		config.WarmAfter = warmAfter
+		config.WarmAfter = warmAfterAnswers
 		config.ShareSlots = true
 		config.AvoidStalled = true
-		config.ZoneCost = zoneCost
+		config.ZoneCost = crossZonePenaltySeconds
 	}
 }
--- a/gateway/guard.go
+++ b/gateway/eligibility.go
@@ -10,16 +10,16 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// guardedRunner asks once more, at the moment of sending, whether the server may get
-// the request; see eligible.Rules.
-type guardedRunner struct {
+// eligibilityRunner checks right before sending that the server may still get the request;
+// see eligible.Rules.
+type eligibilityRunner struct {
 	runner backend.Runner
 	check  func(server backend.Server, call backend.Call) eligible.Reason
 	log    *zap.Logger
 }
 
 // Run implements backend.Runner.
-func (r guardedRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r eligibilityRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
 	reason := r.check(server, call)
 	if reason == eligible.Allowed {
 		return r.runner.Run(ctx, server, call)
@@ -28,16 +28,16 @@
 	return backend.Attempt{Outcome: result.OutcomeUnsent, Fault: backend.FaultNotAllowed}
 }
 
-// mayGet decides on an attempt that a home of this host has chosen the server for.
-func (g *Gateway) mayGet(server backend.Server, call backend.Call) eligible.Reason {
+// checkOwn decides on attempts whose server a home on this host has chosen.
+func (g *Gateway) checkOwn(server backend.Server, call backend.Call) eligible.Reason {
 	return g.rules.Load().Zone(server.Zone, call.Forward.Regions)
 }
 
-// mayPassOn decides on an attempt that another host has chosen the server for.
-func (g *Gateway) mayPassOn(server backend.Server, call backend.Call) eligible.Reason {
+// checkForPeer decides on attempts whose server another host has chosen.
+func (g *Gateway) checkForPeer(server backend.Server, call backend.Call) eligible.Reason {
 	return g.rules.Load().ForOthers(g.options.Now(), server.Name, server.Zone, call.Forward.Regions)
 }
 
-func (g *Gateway) guard(runner backend.Runner, check func(backend.Server, backend.Call) eligible.Reason) backend.Runner {
-	return guardedRunner{runner: runner, check: check, log: g.log}
+func (g *Gateway) withEligibility(runner backend.Runner, check func(backend.Server, backend.Call) eligible.Reason) backend.Runner {
+	return eligibilityRunner{runner: runner, check: check, log: g.log}
 }
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -12,11 +12,11 @@
 	"github.com/goldcrestspan/goldcrestspan/observe"
 )
 
-// evacuations are the availability zones that the operator has taken out of use, as the
-// store or a peer told last. Guarded by Gateway.serversMu.
+// evacuations holds the availability zones that the operator has taken out of use. It is
+// guarded by Gateway.serversMu.
 type evacuations struct {
-	known *eligible.Evacuations // nil: not known yet
-	zones prometheus.Gauge
+	current *eligible.Evacuations // nil until listed
+	zones   prometheus.Gauge
 }
 
 func newEvacuations(registry *prometheus.Registry) (*evacuations, error) {
@@ -27,27 +27,24 @@
 	return &evacuations{zones: zones}, registry.Register(zones)
 }
 
-// applyEvacuations puts the operator's evacuations in force.
-//
-// Load: an operator empties a zone before it loses power or is rebuilt. Harm prevented:
-// requests that reach it after seconds are lost with it. Each entry below the prefix
-// names a zone; what it holds does not count.
+// applyEvacuations applies the operator's list of evacuated zones, whose servers get no new
+// requests. Each key below the prefix names a zone; values are ignored.
 func (g *Gateway) applyEvacuations(objects []metastore.Object, revision metastore.Revision) {
 	var zones []string
 	for _, object := range objects {
 		zones = append(zones, strings.TrimPrefix(object.Key, g.options.EvacuationsPrefix))
 	}
 	g.setEvacuations(zones, revision)
-	g.evacuationsAt.Store(uint64(revision))
+	g.evacuationsRevision.Store(uint64(revision))
 	g.announce()
 }
 
 func (g *Gateway) setEvacuations(zones []string, revision metastore.Revision) {
 	g.serversMu.Lock()
 	defer g.serversMu.Unlock()
-	next, changes := g.evacuations.known.With(g.options.Now(), zones)
-	first := g.evacuations.known == nil
-	g.evacuations.known = next
+	next, changes := g.evacuations.current.With(g.options.Now(), zones)
+	first := g.evacuations.current == nil
+	g.evacuations.current = next
 	g.evacuations.zones.Set(float64(len(zones)))
 	for _, change := range changes {
 		g.log.Info("evacuation of a zone", zap.String("zone", change.Zone), zap.Bool("evacuated", change.Evacuated), observe.Revision("revision", revision))
@@ -57,20 +54,17 @@
 	}
 }
 
-// evacuationsListed reports whether this host knows which zones are evacuated.
-//
-// Failure: a host starts while a zone is evacuated, and hears of the servers first. It
-// shows as requests in a zone that is about to lose power. The guard holds because the
-// host refuses all requests as not run until it knows; others serve them meanwhile.
+// evacuationsListed reports whether this host knows which zones are evacuated. Until then it
+// refuses all requests, so that a host that starts during an evacuation sends nothing to a
+// zone that is about to lose power.
 func (g *Gateway) evacuationsListed() bool {
 	return g.evacuationList == nil || g.evacuationList.Listed()
 }
 
-// nextRules are the rules as they hold now, without the servers that are cold.
-// serversMu is held.
+// nextRules returns the current rules without cold servers. serversMu is held.
 func (g *Gateway) nextRules() *eligible.Rules {
 	return &eligible.Rules{
-		Evacuations: g.evacuations.known,
+		Evacuations: g.evacuations.current,
 		Regions:     g.options.Regions,
 		Cold:        make(map[string]time.Time),
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway runs an entry host whose routes and backend servers stand in
-// the metadata store: it passes callers' requests on as they came, to one
-// backend server or to one of each shard, and merges the shards' parts.
+// Package gateway runs an entry host that reads its routes and backend servers from the
+// metadata store. It forwards callers' requests unchanged, either to one backend server or
+// to one server of each shard, and merges the shards' parts.
 package gateway
 
 import (
@@ -30,48 +30,48 @@
 	"github.com/goldcrestspan/goldcrestspan/route"
 )
 
-// Decoder reads the values of the store.
+// Decoder decodes the values in the store.
 type Decoder interface {
 	Config(object metastore.Object) (*route.Config, error)
 	Server(object metastore.Object) (ServerEntry, error)
-	// Order reads the order of the write of a configuration or a server's entry; false:
-	// it can't be read.
+	// Order returns the write order of a configuration or a server's entry; false if it can't be
+	// decoded.
 	Order(object metastore.Object) (discover.WriteOrder, bool)
 }
 
-// Backends runs calls at backend servers over connections that it keeps.
+// Backends runs calls at backend servers over pooled connections.
 type Backends interface {
 	backend.Runner
-	// Trim closes idle connections to a server until at most keep are open.
+	// Trim closes idle connections to a server until at most keep remain open.
 	Trim(server backend.Server, keep int)
 }
 
-// Options are what a Gateway needs. All must be set but OnAttempts.
+// Options configures a Gateway. All fields are required except OnAttempts.
 type Options struct {
-	Name   string // of this host
+	Name   string // name of this host
 	Region string
 	Zone   string // availability zone
-	// CallerAddress is where callers reach this host, IP and port.
+	// CallerAddress is the IP and port at which callers reach this host.
 	CallerAddress string
-	// Peers is the listener of the other hosts' calls.
+	// Peers is the listener for calls of other hosts.
 	Peers net.Listener
-	// Regions is the region of each availability zone.
+	// Regions maps availability zones to regions.
 	Regions map[string]string
-	// ConfigKey, ServersPrefix and HostsPrefix are where the operator's
-	// configuration, the backend servers' entries and the hosts' own stand.
+	// ConfigKey, ServersPrefix and HostsPrefix are the store keys of the operator's
+	// configuration, of the backend servers' entries and of the hosts' entries.
 	ConfigKey, ServersPrefix, HostsPrefix string
-	// EvacuationsPrefix is where the operator names zones that are to get nothing;
-	// empty: no zone is ever evacuated.
+	// EvacuationsPrefix is the store prefix of evacuated zones; empty if zones are never
+	// evacuated.
 	EvacuationsPrefix string
-	// Warmup are the operator's bounds on what cold servers get.
+	// Warmup bounds the load on cold servers.
 	Warmup eligible.WarmupBounds
 	Tuning
-	// Capacity is what this host can carry, in thousandths of a core: its
-	// processor, or less where its link is the narrower.
+	// Capacity of this host in thousandths of a core, or less if its network link is the
+	// bottleneck.
 	Capacity uint32
 
-	// OnAttempts hears how many attempts at backend servers this host makes a second,
-	// eased; nil: nobody does. It must not block.
+	// OnAttempts is called with the smoothed rate of attempts at backend servers; it may be
+	// nil. It must not block.
 	OnAttempts func(perSecond float64)
 
 	Store    metastore.Store
@@ -83,15 +83,13 @@
 }
 
 const (
-	// AdviceKeep is how long callers may keep advice. Some keep it three times
-	// as long. The shorter it is, the sooner callers leave a lost host; asking
-	// costs a host some 50 us.
+	// AdviceKeep is how long callers may cache advice. Some cache it adviceTTLFactor times as
+	// long. A short time lets callers leave a lost host soon.
 	AdviceKeep = time.Second
-	// keepFactor is how much longer some callers keep advice.
-	keepFactor = 3
-	// cutOffAfter is how long a host that hears neither the store nor a peer
-	// serves on: two watches of 4 s that end without an answer, so that a quiet
-	// or slow store is not mistaken for a lost one.
+	// adviceTTLFactor is how many times longer some callers cache advice.
+	adviceTTLFactor = 3
+	// cutOffAfter is how long a host that reaches neither the store nor a peer keeps serving:
+	// longer than two store watches, so that a quiet or slow store does not count as lost.
 	cutOffAfter = 9 * time.Second
 )
 
@@ -107,91 +105,91 @@
 	relay        *discover.Relay
 	configs      *discover.Follower
 	servers      *discover.Follower
-	// evacuationList is nil where no zone is ever evacuated.
-	evacuationList *discover.Follower
-	peers          *peer.Server
-	farServer      *farServer
-	homeLegs       *homeLegs
-	toldForecasts  *toldForecasts
-	// live ends after the planned stop; links to peers end with it.
-	live context.Context
-	end  context.CancelFunc
+	// evacuationList is nil if zones are never evacuated.
+	evacuationList  *discover.Follower
+	peers           *peer.Server
+	proxyServer     *proxyServer
+	homeLegRunner   *homeLegRunner
+	remoteForecasts *remoteForecasts
+	// runCtx ends after the planned stop, and links to peers end with it.
+	runCtx    context.Context
+	cancelRun context.CancelFunc
 
-	tuning  atomic.Pointer[Tuning]
-	sharing atomic.Int64 // hosts that the slack of the budget is divided by
-	// homeSharing is the same for the services of large searches.
-	homeSharing atomic.Int64
-	inForce     atomic.Pointer[configuration]
-	zones       atomic.Pointer[map[string]int] // backend servers by zone
-	zonesMu     sync.Mutex                     // held while zones and split are worked out
-	split       atomic.Pointer[splitServices]
-	stop        atomic.Pointer[drain.Stop]
-	inFlight    atomic.Int64
-	bodies      atomic.Int64 // bytes of the bodies in flight
-	attempts    atomic.Int64 // at backend servers, since the start
-	callers     callerTimes
-	told        atomic.Uint32 // this host's load as the others hear it, in thousandths
-	// serversAt is the store's revision of the newest change of the servers.
-	serversAt atomic.Uint64
-	events    chan func()   // for the control loop
-	ended     chan struct{} // closed when the control loop has ended
+	reloadable  atomic.Pointer[Tuning]
+	budgetHosts atomic.Int64 // hosts that the budget's slack is divided by
+	// budgetHomes is the same for services of split searches.
+	budgetHomes  atomic.Int64
+	inForce      atomic.Pointer[configuration]
+	zoneServers  atomic.Pointer[map[string]int] // backend servers by zone
+	zonesMu      sync.Mutex                     // held while zoneServers and split are computed
+	split        atomic.Pointer[splitServices]
+	stop         atomic.Pointer[drain.Stop]
+	inFlight     atomic.Int64
+	bodyBytes    atomic.Int64 // request body bytes in flight
+	attempts     atomic.Int64 // at backend servers since start
+	timeouts     callerTimeouts
+	reportedLoad atomic.Uint32 // load reported to peers, in thousandths
+	// serversRevision is the store revision of the last change of the servers.
+	serversRevision atomic.Uint64
+	events          chan func()   // for the control loop
+	controlDone     chan struct{} // closed when the control loop ends
 
-	// inService are the backend servers that don't leave, by name.
+	// inService holds the backend servers that are not leaving, by name.
 	inService atomic.Pointer[map[string]backend.Server]
 
-	// rules say which servers may get a request now.
+	// rules decides which servers may get a request.
 	rules atomic.Pointer[eligible.Rules]
-	// evacuationsAt is the store's revision of the newest change of the evacuations.
-	evacuationsAt atomic.Uint64
-	sharedHomes   *homes
+	// evacuationsRevision is the store revision of the last change of the evacuations.
+	evacuationsRevision atomic.Uint64
+	sharedHomes         *homes
 
-	// serversMu guards what is believed of the servers: their entries, the evacuations
-	// and the configuration come from different goroutines.
+	// serversMu guards the state of the servers: their entries, the evacuations and the
+	// configuration arrive on different goroutines.
 	serversMu    sync.Mutex
 	evacuations  *evacuations
 	warming      *warming
 	serverKeys   []string               // in order
 	serverStates map[string]serverState // by key
-	// newestStarts are the highest incarnations seen, by server.
-	newestStarts *lru.Cache[string, uint64]
+	// newestIncarnations holds the highest incarnation seen, by server.
+	newestIncarnations *lru.Cache[string, uint64]
 }
 
-// New makes a gateway; Run starts it.
+// New returns a gateway; Run starts it.
 func New(options Options) (*Gateway, error) {
 	g := &Gateway{
 		options:      options,
 		startedAt:    options.Now(),
 		log:          options.Logger,
-		events:       make(chan func(), eventQueue),
-		ended:        make(chan struct{}),
+		events:       make(chan func(), eventQueueSize),
+		controlDone:  make(chan struct{}),
 		serverStates: make(map[string]serverState),
 		warming:      &warming{self: ident.HostID(options.Name), zone: options.Zone, bounds: options.Warmup},
 	}
-	newest, err := lru.New[string, uint64](rememberedStarts)
+	newest, err := lru.New[string, uint64](maxTrackedServers)
 	if err != nil {
-		return nil, errors.Wrap(err, "starts of backend servers")
+		return nil, errors.Wrap(err, "create incarnation cache")
 	}
-	g.newestStarts = newest
-	g.tuning.Store(&options.Tuning)
-	g.sharing.Store(leastSharing)
-	g.homeSharing.Store(leastSharing)
-	g.live, g.end = context.WithCancel(context.Background())
+	g.newestIncarnations = newest
+	g.reloadable.Store(&options.Tuning)
+	g.budgetHosts.Store(minBudgetHosts)
+	g.budgetHomes.Store(minBudgetHosts)
+	g.runCtx, g.cancelRun = context.WithCancel(context.Background())
 	if err := g.build(); err != nil {
-		g.end()
+		g.cancelRun()
 		return nil, err
 	}
 	return g, nil
 }
 
-// rememberedStarts bounds the servers of which the newest start is remembered:
-// the 21,000 of the target size and those that left lately.
-const rememberedStarts = 32 << 10
+// maxTrackedServers bounds the servers whose newest incarnation is remembered, in service
+// or recently gone.
+const maxTrackedServers = 32 << 10
 
-// eventQueue holds events that wait for the control loop.
-const eventQueue = 64
+// eventQueueSize is how many events may wait for the control loop.
+const eventQueueSize = 64
 
-// Ready reports whether callers should be sent here: the configuration and the
-// servers are known, and no stop was asked for.
+// Ready reports whether callers should be sent here: configuration, servers and evacuations
+// are known, and the host is neither stopping nor cut off.
 func (g *Gateway) Ready() bool {
 	return g.inForce.Load() != nil && g.servers.Listed() && g.evacuationsListed() && !g.Stopping() && !g.cutOff()
 }
@@ -199,7 +197,7 @@
 // Stopping reports whether a planned stop has begun.
 func (g *Gateway) Stopping() bool { return g.stop.Load() != nil }
 
-// Limits are the configured bounds on what callers send.
+// Limits returns the configured limits on requests.
 func (g *Gateway) Limits() route.Limits {
 	if c := g.inForce.Load(); c != nil {
 		return c.table.Config.Limits
@@ -207,23 +205,23 @@
 	return route.Limits{}
 }
 
-// cutOff reports whether this host has heard neither the store nor a peer for
-// so long that its configuration may be out of date.
+// cutOff reports whether this host has reached neither the store nor a peer for so long that
+// its configuration may be outdated.
 func (g *Gateway) cutOff() bool {
-	heard := g.configs.HeardAt()
-	if at := g.servers.HeardAt(); at.After(heard) {
-		heard = at
+	lastContact := g.configs.HeardAt()
+	if at := g.servers.HeardAt(); at.After(lastContact) {
+		lastContact = at
 	}
-	return g.members.CutOff(g.options.Now(), heard, cutOffAfter)
+	return g.members.CutOff(g.options.Now(), lastContact, cutOffAfter)
 }
 
-// Run serves peers and follows the store until ctx ends, then makes a planned
-// stop and returns when nothing is in flight or the stop's limit has passed.
+// Run serves peers and follows the store until ctx ends, then performs a planned stop: it
+// returns when nothing is in flight or the stop times out.
 func (g *Gateway) Run(ctx context.Context) error {
-	defer g.end()
-	group, live := errgroup.WithContext(g.live)
+	defer g.cancelRun()
+	group, runCtx := errgroup.WithContext(g.runCtx)
 	run := func(name string, f func(context.Context) error) {
-		group.Go(func() error { return errors.Wrap(f(live), name) })
+		group.Go(func() error { return errors.Wrap(f(runCtx), name) })
 	}
 	run("control", g.control)
 	run("members", g.members.Run)
@@ -235,21 +233,21 @@
 	}
 	run("registration", g.register)
 	run("load", g.measureLoad)
-	run("stop", func(live context.Context) error {
+	run("stop", func(runCtx context.Context) error {
 		select {
 		case <-ctx.Done():
-			g.plannedStop(live)
-		case <-live.Done():
+			g.plannedStop(runCtx)
+		case <-runCtx.Done():
 		}
-		g.end()
+		g.cancelRun()
 		return nil
 	})
 	return group.Wait()
 }
 
-// control is the one goroutine that changes what is in force.
+// control runs events one at a time; only it changes the configuration in force.
 func (g *Gateway) control(ctx context.Context) error {
-	defer close(g.ended)
+	defer close(g.controlDone)
 	for {
 		select {
 		case event := <-g.events:
@@ -260,41 +258,41 @@
 	}
 }
 
-// post hands an event to the control loop; after its end the event is void.
+// post sends an event to the control loop; after the loop has ended the event is dropped.
 func (g *Gateway) post(event func()) {
 	select {
 	case g.events <- event:
-	case <-g.ended:
+	case <-g.controlDone:
 	}
 }
 
-// applyConfig puts a configuration from the store or a peer in force, unless a newer one
-// is. Every way in passes here. The operator's version only rises; the store's revision
-// goes back with the store, and a peer may know a version that the store has lost.
+// applyConfig puts a configuration from the store or a peer in force unless a newer one
+// already is. Versions only rise, while the store's revision goes back when the store is
+// restored, and a peer may have a version that the store has lost.
 func (g *Gateway) applyConfig(object metastore.Object, source string) {
-	before := g.inForce.Load()
-	if before != nil && object.Revision == before.revision {
+	previous := g.inForce.Load()
+	if previous != nil && object.Revision == previous.revision {
 		return
 	}
 	config, err := g.options.Decode.Config(object)
 	if err != nil {
-		g.log.Error("configuration can't be read, the one before stays in force", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
+		g.log.Error("failed to decode configuration; keeping the current one", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
 		return
 	}
-	if before != nil && config.Version < before.version() {
-		g.log.Warn("older configuration is left out", zap.Uint64("version", config.Version), zap.Uint64("in_force", before.version()), observe.Revision("revision", object.Revision))
+	if previous != nil && config.Version < previous.version() {
+		g.log.Warn("ignoring older configuration", zap.Uint64("version", config.Version), zap.Uint64("in_force", previous.version()), observe.Revision("revision", object.Revision))
 		return
 	}
 	next, err := newConfiguration(object.Revision, config)
 	if err != nil {
-		g.log.Error("configuration is not valid, the one before stays in force", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
+		g.log.Error("invalid configuration; keeping the current one", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
 		return
 	}
 	g.inForce.Store(next)
 	g.homes.Refresh()
 	g.configureWarming(next)
-	g.callers.forget(next.targets)
-	g.toldForecasts.forget(next.names)
+	g.timeouts.prune(next.targets)
+	g.remoteForecasts.prune(next.hasService)
 	g.countZones()
 	g.announce()
 	g.log.Info("configuration in force", zap.Uint64("version", config.Version), observe.Revision("revision", object.Revision),
@@ -303,7 +301,7 @@
 
 func (g *Gateway) homesConfig() *bundle.Config {
 	if c := g.inForce.Load(); c != nil {
-		return c.homes
+		return c.compiled
 	}
 	return nil
 }
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -16,94 +16,90 @@
 	"github.com/goldcrestspan/goldcrestspan/scatter"
 )
 
-// peerLegs runs what other hosts send: legs at a server that they name, and legs of
-// searches whose services have their home here.
-type peerLegs struct {
-	far   *farServer
-	homes *homeLegs
+// peerLegRunner runs the legs that peers send: legs for a named server, and legs of searches
+// whose services have their home on this host.
+type peerLegRunner struct {
+	proxy *proxyServer
+	homes *homeLegRunner
 }
 
 // Run implements leg.Runner.
-func (p peerLegs) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
+func (p peerLegRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
 	if request.Server != "" {
-		return p.far.Run(request, done)
+		return p.proxy.Run(request, done)
 	}
 	return p.homes.Run(request, done)
 }
 
-// homeLegs runs legs of other hosts' searches at this host's homes and sends back the
-// greatest records only.
-type homeLegs struct {
+// homeLegRunner runs legs of other hosts' searches at this host's homes and returns only the
+// greatest records.
+type homeLegRunner struct {
 	local *homeserver.Server
-	// open counts the legs under way: a planned stop waits for them.
-	open atomic.Int64
-	kept *lru.Cache[partKey, *forward.Reply]
-	legs prometheus.Counter
+	// running counts running legs; a planned stop waits for them.
+	running atomic.Int64
+	cache   *lru.Cache[partKey, *forward.Reply]
+	counter prometheus.Counter
 }
 
-func newHomeLegs(local *homeserver.Server, registry *prometheus.Registry) (*homeLegs, error) {
-	kept, err := lru.New[partKey, *forward.Reply](keptParts)
+func newHomeLegRunner(local *homeserver.Server, registry *prometheus.Registry) (*homeLegRunner, error) {
+	cache, err := lru.New[partKey, *forward.Reply](maxCachedParts)
 	if err != nil {
-		return nil, errors.Wrap(err, "parts kept for roots")
+		return nil, errors.Wrap(err, "create cache of full parts")
 	}
-	legs := prometheus.NewCounter(prometheus.CounterOpts{
+	counter := prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "goldcrestspan", Name: "home_legs_total",
 		Help: "Legs of other hosts' searches that this host ran as the home of their service.",
 	})
-	return &homeLegs{local: local, kept: kept, legs: legs}, registry.Register(legs)
+	return &homeLegRunner{local: local, cache: cache, counter: counter}, registry.Register(counter)
 }
 
 // Run implements leg.Runner.
-func (s *homeLegs) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
+func (s *homeLegRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
 	if request.Forward == nil {
 		done(leg.Failed(request, result.NotReady, result.OutcomeUnsent, "a leg without its request"))
 		return func() {}
 	}
 	if request.Rest {
-		return s.whole(request, done)
+		return s.fullPart(request, done)
 	}
-	s.open.Add(1)
-	s.legs.Inc()
-	return s.local.Run(request, func(ended leg.Result) {
-		s.open.Add(-1)
-		done(s.cut(request, unknownHere(ended)))
+	s.running.Add(1)
+	s.counter.Inc()
+	return s.local.Run(request, func(res leg.Result) {
+		s.running.Add(-1)
+		done(s.truncate(request, notReadyIfUnknown(res)))
 	})
 }
 
-// unknownHere says of a leg that this host can't place, since it has not heard of the
-// service or its class yet, that it is no home for it.
-//
-// Failure: the index is cut into other shards, and a root has the new configuration a
-// second before the home. It shows as legs that fail for an unknown service, so that
-// the whole search fails. The guard holds because the root then asks itself.
-func unknownHere(ended leg.Result) leg.Result {
-	if ended.Outcome == result.OutcomeUnsent && (ended.Code == result.NoBackend || ended.Code == result.BadRequest) {
-		ended.Code = result.NotReady
+// notReadyIfUnknown makes an unsent leg for an unknown service or class fail as not ready:
+// the coordinating host, which may have a newer configuration, then runs it itself.
+func notReadyIfUnknown(res leg.Result) leg.Result {
+	if res.Outcome == result.OutcomeUnsent && (res.Code == result.NoBackend || res.Code == result.BadRequest) {
+		res.Code = result.NotReady
 	}
-	return ended
+	return res
 }
 
-// cut leaves the greatest records in the leg's part, and keeps the whole of it.
-func (s *homeLegs) cut(request leg.Request, ended leg.Result) leg.Result {
-	most := 0
+// truncate keeps only the greatest records in the leg's result and caches the full reply.
+func (s *homeLegRunner) truncate(request leg.Request, res leg.Result) leg.Result {
+	limit := 0
 	if request.Forward.Merge != nil {
-		most = request.Forward.Merge.MostPerPart()
+		limit = request.Forward.Merge.MostPerPart()
 	}
-	if !ended.Usable() || ended.Reply == nil || most == 0 {
-		return ended
+	if !res.Usable() || res.Reply == nil || limit == 0 {
+		return res
 	}
-	if len(ended.Body) <= most*recordSize && ended.Reply.Rest == nil {
-		return ended
+	if len(res.Body) <= limit*recordSize && res.Reply.Rest == nil {
+		return res
 	}
-	s.kept.Add(homeKey(request), ended.Reply)
-	ended.Body, ended.Cut = scatter.Greatest([][]byte{ended.Body}, recordSize, most), true
-	ended.Digest = leg.Digest(ended.Body)
-	return ended
+	s.cache.Add(homePartKey(request), res.Reply)
+	res.Body, res.Cut = scatter.Greatest([][]byte{res.Body}, recordSize, limit), true
+	res.Digest = leg.Digest(res.Body)
+	return res
 }
 
-// whole answers with all records of a part that was cut before.
-func (s *homeLegs) whole(request leg.Request, done func(leg.Result)) (cancel func()) {
-	reply, ok := s.kept.Get(homeKey(request))
+// fullPart answers with all records of a part that was truncated before.
+func (s *homeLegRunner) fullPart(request leg.Request, done func(leg.Result)) (cancel func()) {
+	reply, ok := s.cache.Get(homePartKey(request))
 	if !ok {
 		done(leg.Failed(request, result.NoSnapshot, result.OutcomeUnsent, "the part is not kept any more"))
 		return func() {}
@@ -119,37 +115,37 @@
 			done(leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, err.Error()))
 			return
 		}
-		ended := leg.Failed(request, 0, result.OutcomeRan, "")
-		ended.Body, ended.Digest = body, leg.Digest(body)
-		done(ended)
+		res := leg.Failed(request, 0, result.OutcomeRan, "")
+		res.Body, res.Digest = body, leg.Digest(body)
+		done(res)
 	}()
 	return cancel
 }
 
-// homeKey names a part by the caller's attempt and its service.
-func homeKey(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, server: request.Service}
+// homePartKey identifies a part by the caller's attempt and its service.
+func homePartKey(request leg.Request) partKey {
+	return partKey{attempt: request.Forward.Attempt, source: request.Service}
 }
 
-// restAt fetches all records of a part that a peer has cut.
-func restAt(links *exchange.Client, address string, request leg.Request) func(context.Context) ([]byte, error) {
+// fullPartFetcher returns a function that fetches all records of a part that a peer truncated.
+func fullPartFetcher(links *exchange.Client, address string, request leg.Request) func(context.Context) ([]byte, error) {
 	request.Rest, request.MostRecords = true, 0
 	return func(ctx context.Context) ([]byte, error) {
-		ended := askPeer(ctx, links, address, request)
-		if ended.Outcome != result.OutcomeRan {
+		res := askPeer(ctx, links, address, request)
+		if res.Outcome != result.OutcomeRan {
 			return nil, &result.Error{Code: result.HomeUnavailable, Detail: "the rest of a part was not had from " + address}
 		}
-		return ended.Body, nil
+		return res.Body, nil
 	}
 }
 
-// askPeer sends a leg to a peer and waits for its end, at most until ctx ends.
+// askPeer runs a leg at a peer and waits for its result, at most until ctx ends.
 func askPeer(ctx context.Context, links *exchange.Client, address string, request leg.Request) leg.Result {
 	results := make(chan leg.Result, 1)
-	cancel := links.To(address).Run(request, func(ended leg.Result) { results <- ended })
+	cancel := links.To(address).Run(request, func(res leg.Result) { results <- res })
 	select {
-	case ended := <-results:
-		return ended
+	case res := <-results:
+		return res
 	case <-ctx.Done():
 		cancel()
 		return <-results
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -19,41 +19,37 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// homes says which host is the home of each service. Services of small searches and
-// of plain routes have this host, whoever it is: few hosts carry the traffic, and
-// each knows most of what runs at the servers near it. Those of large searches are
-// shared by the hosts that entry.Homes chooses for this host's zone.
+// homes decides which host is the home of each service. Services of small searches and of
+// single-service routes have their home on this host. Services of large searches are spread
+// over the hosts that entry.Homes chooses for this host's zone.
 type homes struct {
 	self  ident.HostID
 	zone  string // availability zone of this host
 	local *homeserver.Server
 	view  func() *member.View
 	zones func() map[string]int
-	// split are the services of large searches and how many the largest has.
-	split func() (services []place.Service, largest int)
-	links *exchange.Client
-	told  *toldForecasts
-	log   *zap.Logger
+	// split returns the services of large searches and the size of the largest search.
+	split     func() (services []place.Service, largest int)
+	links     *exchange.Client
+	forecasts *remoteForecasts
+	log       *zap.Logger
 
-	placed atomic.Pointer[placement]
-	mu     sync.Mutex // held while a placement is worked out
+	latest atomic.Pointer[placement]
+	mu     sync.Mutex // held while a placement is computed
 }
 
-// placement is who is the home of which service, for one set of hosts and services.
+// placement assigns services to homes, for one membership view and list of services.
 type placement struct {
-	of       *member.View
-	services []place.Service
-	hosts    []ident.HostID
-	address  map[ident.HostID]string // peers' addresses
-	homes    *place.Homes            // nil: nothing is shared
-}
-
-// Of implements scatter.Homes. The second home is this host: a search whose share is
-// lost with its home goes on at once, and needs no third host for it.
-//
-// Failure: a home is frozen or cut off. It shows as replies that don't come, while
-// the view still calls it alive for seconds. The guard holds because a peer that owes
-// replies and has not answered a ping for Doubt gets no further legs.
+	membership *member.View
+	services   []place.Service
+	hosts      []ident.HostID
+	address    map[ident.HostID]string // peer addresses
+	homes      *place.Homes            // nil if no service is spread
+}
+
+// Of implements scatter.Homes. The second home is this host, so that legs of a lost home
+// fail over without a third host. A home that owes replies and does not answer pings is
+// skipped, since membership takes seconds to notice that it is gone.
 func (h *homes) Of(service string) (first, second ident.HostID) {
 	p := h.current()
 	if p.homes == nil {
@@ -69,34 +65,30 @@
 // Runner implements scatter.Homes.
 func (h *homes) Runner(host ident.HostID) (leg.Runner, bool) {
 	if host == h.self {
-		return takenOver{h}, true
+		return failoverRunner{h}, true
 	}
 	address, known := h.current().address[host]
 	if !known {
 		return nil, false
 	}
-	return remoteHome{links: h.links, address: address, told: h.told, own: takenOver{h}}, true
+	return remoteHomeRunner{links: h.links, address: address, forecasts: h.forecasts, local: failoverRunner{h}}, true
 }
 
-// takenOver runs legs at this host, and those whose home was lost where the home most
-// likely sent them.
-//
-// Failure: a home dies with a leg that it has sent to one server, or to two, since the
-// first was slow. The route allows two servers, the root can't know how many had it,
-// and a third begins the same work. The guard holds because a home sends a leg to the
-// server of its own zone first, so that the leg goes there again and nowhere else.
-type takenOver struct{ homes *homes }
+// failoverRunner runs legs on this host. A leg whose home was lost goes only to the server
+// that this home tries first, the one in its own zone, so that no further server repeats the
+// work.
+type failoverRunner struct{ homes *homes }
 
 // Run implements leg.Runner.
-func (t takenOver) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
+func (r failoverRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
 	if request.After != "" {
-		t.homes.log.Info("leg taken over from a lost home", zap.String("request", request.Forward.Attempt), zap.String("service", request.Service), zap.String("home", string(request.After)))
+		r.homes.log.Info("leg taken over from a lost home", zap.String("request", request.Forward.Attempt), zap.String("service", request.Service), zap.String("home", string(request.After)))
 		request.MaxServers = 1
-		if host, known := t.homes.view().Find(request.After); known {
-			request.Only = t.homes.local.Near(request.Service, host.Zone)
+		if host, known := r.homes.view().Find(request.After); known {
+			request.Only = r.homes.local.Near(request.Service, host.Zone)
 		}
 	}
-	return t.homes.local.Run(request, done)
+	return r.homes.local.Run(request, done)
 }
 
 // Forecast implements scatter.Homes.
@@ -104,30 +96,30 @@
 	if first, _ := h.Of(service); first == h.self {
 		return h.local.Forecast(service, class)
 	}
-	return h.told.forecast(service, class)
+	return h.forecasts.forecast(service, class)
 }
 
-// current is the placement for the view and the services of this moment.
+// current returns the placement for the current view and services.
 func (h *homes) current() *placement {
 	view := h.view()
 	services, largest := h.split()
-	if p := h.placed.Load(); p.holds(view, services) {
+	if p := h.latest.Load(); p.matches(view, services) {
 		return p
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before := h.placed.Load()
-	if before.holds(view, services) {
-		return before
+	previous := h.latest.Load()
+	if previous.matches(view, services) {
+		return previous
 	}
-	next := h.place(view, services, largest, before)
-	h.placed.Store(next)
+	next := h.place(view, services, largest, previous)
+	h.latest.Store(next)
 	return next
 }
 
-// within is the placement of the shared services if all its hosts are of the
-// availability zone; nil: it is not, or nothing is shared.
-func (h *homes) within(zone string) *place.Homes {
+// withinZone returns the placement if all its hosts are in the availability zone; nil
+// otherwise, or if no service is spread.
+func (h *homes) withinZone(zone string) *place.Homes {
 	p := h.current()
 	if !p.all(func(host member.Host) bool { return host.Zone == zone }) {
 		return nil
@@ -135,36 +127,36 @@
 	return p.homes
 }
 
-// allIn reports whether a request that is bound to the regions may be seen by all hosts
-// that share services; no regions: it is not bound.
-func (h *homes) allIn(regions []string) bool {
+// allInRegions reports whether a request restricted to the regions may be seen by all homes;
+// empty regions do not restrict it.
+func (h *homes) allInRegions(regions []string) bool {
 	if len(regions) == 0 {
 		return true
 	}
 	return h.current().all(func(host member.Host) bool { return eligible.InRegions(regions, host.Region) })
 }
 
-// all reports whether the condition holds for every host that shares services.
-func (p *placement) all(holds func(member.Host) bool) bool {
+// all reports whether the condition holds for every home.
+func (p *placement) all(condition func(member.Host) bool) bool {
 	for _, id := range p.hosts {
-		if host, known := p.of.Find(id); !known || !holds(host) {
+		if host, known := p.membership.Find(id); !known || !condition(host) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *placement) holds(view *member.View, services []place.Service) bool {
-	return p != nil && p.of == view && sameServices(p.services, services)
+func (p *placement) matches(view *member.View, services []place.Service) bool {
+	return p != nil && p.membership == view && sameServices(p.services, services)
 }
 
-// sameServices compares two lists that are replaced as a whole.
+// sameServices compares two lists by identity: lists are replaced as a whole.
 func sameServices(a, b []place.Service) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (h *homes) place(view *member.View, services []place.Service, largest int, before *placement) *placement {
-	next := &placement{of: view, services: services}
+func (h *homes) place(view *member.View, services []place.Service, largest int, previous *placement) *placement {
+	next := &placement{membership: view, services: services}
 	chosen := entry.Homes(view, h.zones(), largest, h.zone)
 	if len(chosen) == 0 {
 		return next
@@ -173,47 +165,47 @@
 	for i := range chosen {
 		next.hosts = append(next.hosts, chosen[i].ID)
 		next.address[chosen[i].ID] = chosen[i].PeerAddress
-		chosen[i].Region = "" // zones' names are unique across regions
+		chosen[i].Region = "" // zone names are unique across regions
 	}
 	slices.Sort(next.hosts)
-	if before != nil && before.homes != nil && slices.Equal(before.hosts, next.hosts) && sameServices(before.services, services) {
-		next.homes = before.homes
+	if previous != nil && previous.homes != nil && slices.Equal(previous.hosts, next.hosts) && sameServices(previous.services, services) {
+		next.homes = previous.homes
 		return next
 	}
 	next.homes = place.New(&member.View{Hosts: chosen}, services)
-	if before == nil || !slices.Equal(before.hosts, next.hosts) {
+	if previous == nil || !slices.Equal(previous.hosts, next.hosts) {
 		h.log.Info("services shared between homes", zap.Int("services", len(services)), zap.Any("homes", next.hosts))
 	}
 	return next
 }
 
-// remoteHome runs legs at the home of their service on another host.
-type remoteHome struct {
-	links   *exchange.Client
-	address string
-	told    *toldForecasts
-	own     leg.Runner // this host's
+// remoteHomeRunner runs legs at a home on another host.
+type remoteHomeRunner struct {
+	links     *exchange.Client
+	address   string
+	forecasts *remoteForecasts
+	local     leg.Runner // of this host
 }
 
-// Run implements leg.Runner. A leg that may have run at another home stays here: see
-// takenOver.
-func (r remoteHome) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
+// Run implements leg.Runner. A leg that may have run at another home runs on this host; see
+// failoverRunner.
+func (r remoteHomeRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
 	if request.After != "" {
-		return r.own.Run(request, done)
+		return r.local.Run(request, done)
 	}
-	return r.links.To(r.address).Run(request, func(ended leg.Result) {
-		if ended.Forecast != nil {
-			r.told.note(request.Service, request.Class, *ended.Forecast)
+	return r.links.To(r.address).Run(request, func(res leg.Result) {
+		if res.Forecast != nil {
+			r.forecasts.record(request.Service, request.Class, *res.Forecast)
 		}
-		if ended.Cut && ended.Reply != nil {
-			ended.Reply.Rest = restAt(r.links, r.address, request)
+		if res.Cut && res.Reply != nil {
+			res.Reply.Rest = fullPartFetcher(r.links, r.address, request)
 		}
-		done(ended)
+		done(res)
 	})
 }
 
-// localHomes makes this host the home of every service, for plain routes: a request to
-// one service may run once only, and its whole reply goes back.
+// localHomes makes this host the home of every service, for single-service routes: their
+// requests may run only once, and the whole reply is returned.
 type localHomes struct {
 	self  ident.HostID
 	local *homeserver.Server
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -8,15 +8,15 @@
 	"github.com/goldcrestspan/goldcrestspan/scatter"
 )
 
-// mostMissing bounds the missing shards in one log line.
-const mostMissing = 4
+// maxLoggedMissing bounds the missing shards in one log line.
+const maxLoggedMissing = 4
 
-// missingList writes the shards that an answer lacks, and why.
+// missingList logs the shards that an answer lacks, and why.
 type missingList []scatter.Missing
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
 func (l missingList) MarshalLogArray(enc zapcore.ArrayEncoder) error {
-	for _, m := range l[:min(len(l), mostMissing)] {
+	for _, m := range l[:min(len(l), maxLoggedMissing)] {
 		if err := enc.AppendObject(missingShard(m)); err != nil {
 			return err
 		}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// logServer writes a line about what a home believes of a backend server.
+// logServer logs a change of a backend server's state at a home.
 func (g *Gateway) logServer(service string, change home.ServerChange) {
 	fields := []zap.Field{
 		zap.String("server", change.Server), zap.String("service", service), zap.Stringer("state", change.State),
--- a/gateway/merge.go
+++ b/gateway/merge.go
@@ -10,49 +10,44 @@
 	"github.com/goldcrestspan/goldcrestspan/scatter"
 )
 
-// restWait bounds fetching the rest of parts that were cut: a way between zones
-// and back, and a busy host's turn. Fewer than one answer in a hundred needs it.
-const restWait = 20 * time.Millisecond
+// fullPartTimeout bounds fetching full parts after truncated ones.
+const fullPartTimeout = 20 * time.Millisecond
 
-// merge makes one answer of the parts, or turns the answer into a failure.
+// merge combines the parts into one answer, or turns the answer into a failure.
 //
-// Failure: a part of which only the greatest records were sent holds more that
-// belong into the answer. It would show as an answer that lacks records though it
-// names the part. The guard holds because a record that was left out is no
-// greater than the least that was sent: where that one is below the least record
-// of the answer, nothing is missing, and where it is not, the whole part is
-// fetched, or the answer does without the part and says so.
+// Parts may be truncated to their greatest records. A truncated part is complete for the
+// answer if its least record is below the least record of the answer; otherwise the full
+// part is fetched, or dropped from the answer and counted as missing.
 func merge(ctx context.Context, r *route.Route, answer *scatter.Answer) *Merged {
 	parts := answer.Parts
-	least := max(scatter.LeastParts(r.LeastShare, answer.Total), 1)
+	minParts := max(scatter.LeastParts(r.LeastShare, answer.Total), 1)
 	for {
-		if len(parts) < least {
-			return tooFew(answer)
+		if len(parts) < minParts {
+			return failCoverage(answer)
 		}
 		records := scatter.Greatest(bodiesOf(parts), recordSize, r.Greatest)
-		open := 0
+		truncated := 0
 		for i := range parts {
 			if mayHoldMore(&parts[i], records, r.Greatest) {
-				parts[i], parts[open] = parts[open], parts[i]
-				open++
+				parts[i], parts[truncated] = parts[truncated], parts[i]
+				truncated++
 			}
 		}
-		if open == 0 {
-			return merged(answer, parts, records)
+		if truncated == 0 {
+			return newMerged(answer, parts, records)
 		}
-		parts = append(fetchRests(ctx, parts[:open], least-(len(parts)-open)), parts[open:]...)
+		parts = append(fetchFullParts(ctx, parts[:truncated], minParts-(len(parts)-truncated)), parts[truncated:]...)
 	}
 }
 
-// tooFew turns the answer into a failure: no part may be named, or less than the
-// route allows.
-func tooFew(answer *scatter.Answer) *Merged {
+// failCoverage turns the answer into a failure for lack of parts.
+func failCoverage(answer *scatter.Answer) *Merged {
 	answer.Parts, answer.Code = nil, result.CoverageTooLow
 	answer.Detail = "too few whole parts were had"
 	return nil
 }
 
-func merged(answer *scatter.Answer, parts []scatter.Part, records []byte) *Merged {
+func newMerged(answer *scatter.Answer, parts []scatter.Part, records []byte) *Merged {
 	if len(parts) < len(answer.Parts) {
 		answer.Parts, answer.Code = parts, result.Partial
 	}
@@ -71,8 +66,7 @@
 	return bodies
 }
 
-// mayHoldMore reports whether records of a cut part that were not sent may belong
-// among the greatest.
+// mayHoldMore reports whether omitted records of a truncated part may belong in the answer.
 func mayHoldMore(part *scatter.Part, records []byte, greatest int) bool {
 	if part.Reply == nil || part.Reply.Rest == nil {
 		return false
@@ -80,45 +74,41 @@
 	if len(records) < greatest*recordSize || len(part.Body) < recordSize {
 		return true
 	}
-	least := part.Body[len(part.Body)-recordSize:] // they come falling
+	least := part.Body[len(part.Body)-recordSize:] // in descending order
 	return bytes.Compare(least, records[len(records)-recordSize:]) > 0
 }
 
-// fetchRests fetches the whole parts, all at once, and returns those that were had: at
-// restWait, or later when they are as many as the answer needs.
-//
-// Failure: an answer has just the least parts that its route allows, one of them is
-// cut, and the host that cut it is busy for longer than restWait. It shows as a failed
-// search whose parts were all there. The guard holds because such an answer waits for
-// as long as its caller does.
-func fetchRests(ctx context.Context, parts []scatter.Part, needed int) []scatter.Part {
+// fetchFullParts fetches the full parts concurrently and returns those that arrived within
+// fullPartTimeout. If the answer needs more of them, it waits for the caller's deadline
+// instead: a busy peer must not fail a search whose parts are all available.
+func fetchFullParts(ctx context.Context, parts []scatter.Part, needed int) []scatter.Part {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	fetched := make(chan scatter.Part, len(parts))
 	for i := range parts {
-		go func() { fetched <- wholePart(ctx, parts[i]) }()
+		go func() { fetched <- fetchFullPart(ctx, parts[i]) }()
 	}
-	timer := time.NewTimer(restWait)
+	timer := time.NewTimer(fullPartTimeout)
 	defer timer.Stop()
-	var had []scatter.Part
-	waited := false
-	for open := len(parts); open > 0 && (!waited || len(had) < needed); {
+	var complete []scatter.Part
+	timedOut := false
+	for pending := len(parts); pending > 0 && (!timedOut || len(complete) < needed); {
 		select {
 		case part := <-fetched:
-			open--
+			pending--
 			if part.Reply != nil {
-				had = append(had, part)
+				complete = append(complete, part)
 			}
 		case <-timer.C:
-			waited = true
+			timedOut = true
 		}
 	}
-	return had
+	return complete
 }
 
-// wholePart is the part with all its records; without a reply: they were not had, and
-// the part is left out of the answer and counted as missing.
-func wholePart(ctx context.Context, part scatter.Part) scatter.Part {
+// fetchFullPart returns the part with all its records. If they can't be fetched, the Reply
+// is nil, and the part counts as missing.
+func fetchFullPart(ctx context.Context, part scatter.Part) scatter.Part {
 	body, err := part.Reply.Rest(ctx)
 	if err != nil {
 		return scatter.Part{}
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -13,45 +13,42 @@
 	"github.com/goldcrestspan/goldcrestspan/observe"
 )
 
-// hostEntry is what a host writes of itself, so that hosts that start later
-// find a peer. It is not removed by a crash: membership says who is alive.
+// hostEntry is a host's entry in the store, by which hosts that start later find a peer. A
+// crash does not remove it; membership decides who is alive.
 type hostEntry struct {
 	PeerAddress string `json:"peer_address"`
 }
 
 const (
-	// registerRetry is the pause after a write or list that failed.
-	registerRetry = time.Second
-	// joinWait is how long a host waits to be let in by the peers of its
-	// settings before it asks the store for others.
-	joinWait = 2 * time.Second
-	// meetWait is how long one that was let in waits on: the hosts of a large
-	// fleet that starts take some 3 s to know each other, and only those that
-	// are to stand in the store then write to it.
-	meetWait = 2 * time.Second
-	// watcherCheck is how often a host looks whether it is one of the hosts to
-	// stand in the store.
-	watcherCheck = 5 * time.Second
+	// registerRetryDelay is the delay after a failed write or list.
+	registerRetryDelay = time.Second
+	// joinTimeout is how long a host waits for its configured peers before it reads others
+	// from the store.
+	joinTimeout = 2 * time.Second
+	// membershipWait is how long a host that has joined waits for a complete membership view,
+	// so that only the hosts that are to register write to the store.
+	membershipWait = 2 * time.Second
+	// watcherCheckInterval is how often a host checks whether it should register.
+	watcherCheckInterval = 5 * time.Second
 )
 
-// register writes this host's entry if it is one of those that watch the store, and
-// asks for the others' when no peer of the settings answers. It does so once, and again
-// when the store was restored, which may have lost the entry. The store so sees a few
-// calls for each start of a fleet, however large.
+// register writes this host's entry if it is one of the hosts that watch the store, and adds
+// the registered hosts as seeds. It runs once, and again after a restore of the store, which
+// may have lost the entry. Even a large fleet therefore makes few store calls at its start.
 func (g *Gateway) register(ctx context.Context) error {
-	if wait.For(ctx, joinWait) && g.members.Joined() {
-		wait.For(ctx, meetWait)
+	if wait.For(ctx, joinTimeout) && g.members.Joined() {
+		wait.For(ctx, membershipWait)
 	}
 	registered, era := false, uint64(0)
-	for pause := time.Duration(0); wait.For(ctx, pause); {
-		pause = watcherCheck
-		if registered && g.configs.Revision().Era() <= era || !g.watches() {
+	for delay := time.Duration(0); wait.For(ctx, delay); {
+		delay = watcherCheckInterval
+		if registered && g.configs.Revision().Era() <= era || !g.isWatcher() {
 			continue
 		}
 		written, err := g.registerOnce(ctx)
 		if err != nil {
-			g.log.Warn("registration failed and is tried again", observe.Reason(err))
-			pause = registerRetry
+			g.log.Warn("registration failed; retrying", observe.Reason(err))
+			delay = registerRetryDelay
 			continue
 		}
 		registered, era = true, written.Era()
@@ -59,7 +56,7 @@
 	return nil
 }
 
-// registerOnce returns the revision of this host's entry.
+// registerOnce returns the revision of the entry that it wrote.
 func (g *Gateway) registerOnce(ctx context.Context) (metastore.Revision, error) {
 	entries, _, err := g.options.Store.List(ctx, g.options.HostsPrefix)
 	if err != nil {
@@ -72,7 +69,7 @@
 	for _, object := range entries {
 		var entry hostEntry
 		if err := json.Unmarshal(object.Value, &entry); err != nil {
-			g.log.Warn("a host's entry can't be read", zap.String("key", object.Key), observe.Reason(err))
+			g.log.Warn("failed to decode a host's entry", zap.String("key", object.Key), observe.Reason(err))
 			continue
 		}
 		if object.Key == key {
@@ -90,7 +87,7 @@
 	}
 	written, err := g.options.Store.Put(ctx, key, value, version)
 	if errors.Is(err, metastore.ErrConflict) {
-		return 0, errors.Wrap(err, "own entry was written meanwhile")
+		return 0, errors.Wrap(err, "own entry was changed concurrently")
 	}
 	g.log.Info("registered", zap.Int("hosts_listed", len(entries)), observe.Reason(err))
 	return written.Revision, errors.Wrap(err, "write own entry")
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -18,34 +18,34 @@
 const (
 	// recordSize is the size of one record in a shard's part, in bytes.
 	recordSize = 16
-	// maxInFlight bounds the requests in flight: at some 40 KB each, with the
-	// connections of their parts, they stay within half of a small host's memory.
-	maxInFlight = 2048
-	// elsewhereAfter is when a caller may come back to another host.
-	elsewhereAfter = 50 * time.Millisecond
-	// notReadyAfter is when a caller may come back to a host that is starting.
-	notReadyAfter = 300 * time.Millisecond
+	// maxRequestsInFlight bounds memory use; a request takes about 40 KB with the
+	// connections of its parts.
+	maxRequestsInFlight = 2048
+	// otherHostRetryAfter is when a caller may retry at another host.
+	otherHostRetryAfter = 50 * time.Millisecond
+	// notReadyRetryAfter is when a caller may retry at a host that is starting or overloaded.
+	notReadyRetryAfter = 300 * time.Millisecond
 )
 
 // Query is one request of a caller.
 type Query struct {
 	Arrived time.Time
-	// Budget is how long the caller waits; 0: as long as the route allows.
+	// Budget is how long the caller waits; 0 if it does not say.
 	Budget time.Duration
-	// Connection is the one that the request came on; nil: nothing is known of it.
+	// Connection is the connection that the request came on; nil if nothing is known of it.
 	Connection *Connection
-	// Path is the path without the query.
+	// Path is the path without the query string.
 	Path    string
 	Forward *forward.Request
 	Body    []byte
 }
 
-// Answer is the one answer to a Query.
+// Answer is the answer to a Query.
 type Answer struct {
 	Code   result.Code
 	Detail string
-	// Reply is the backend server's, of a plain route; also one that says that
-	// the request failed. Nil: the answer is this host's own.
+	// Reply is the backend server's reply on a single-service route, including replies that
+	// report a failure. Nil if the answer is this host's own.
 	Reply *forward.Reply
 	// Merged is set for an answer from shards.
 	Merged *Merged
@@ -53,94 +53,86 @@
 	RetryAfter time.Duration
 }
 
-// Merged is an answer from several shards.
+// Merged is the combined answer of several shards.
 type Merged struct {
-	Records    []byte   // the greatest, falling
-	Signatures []string // of the parts that are in it
-	Missing    int      // shards that are not
+	Records    []byte   // the greatest records, in descending order
+	Signatures []string // of the included parts
+	Missing    int      // shards not included
 }
 
-func refused(code result.Code, detail string, after time.Duration) *Answer {
-	return &Answer{Code: code, Detail: detail, RetryAfter: after}
+func newRefusal(code result.Code, detail string, retryAfter time.Duration) *Answer {
+	return &Answer{Code: code, Detail: detail, RetryAfter: retryAfter}
 }
 
-// Serve answers one request. It returns early when ctx ends, which says that
-// the caller has gone.
+// Serve answers one request. It returns early when ctx ends because the caller has gone.
 func (g *Gateway) Serve(ctx context.Context, q Query) *Answer {
 	inFlight := g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	c := g.inForce.Load()
-	if refusal := g.refuse(c, inFlight); refusal != nil {
+	if refusal := g.checkAdmission(c, inFlight); refusal != nil {
 		g.logRefusal(q, c, refusal)
 		return refusal
 	}
 	r, service, ok := c.table.Match(q.Forward.Host, q.Path)
 	if !ok {
-		answer := refused(result.RouteNotAllowed, "no route for this host and path", 0)
+		answer := newRefusal(result.RouteNotAllowed, "no route for this host and path", 0)
 		g.logRefusal(q, c, answer)
 		return answer
 	}
 	return g.run(ctx, c, r, service, q)
 }
 
-// TakeBody asks for room for a request's body before it is read, and gives it
-// back through release. A refusal says that the request has not run.
-//
-// Load: many callers send bodies near the limit at once. Harm prevented: they
-// are held in memory until their answers, a host of 184 MB is killed, and every
-// request on it is lost. A body is refused before it is read, whatever its caller
-// had still to send.
+// TakeBody reserves memory for a request's body before it is read; release frees it. Many
+// concurrent bodies near the size limit would otherwise exhaust the host's memory. A refused
+// request has not run.
 func (g *Gateway) TakeBody(bytes int64) (release func(), refusal *Answer) {
-	if g.bodies.Add(bytes) > g.tuning.Load().BodyBytes {
-		g.bodies.Add(-bytes)
-		return nil, refused(result.Overloaded, "too many bytes of requests in flight", notReadyAfter)
+	if g.bodyBytes.Add(bytes) > g.reloadable.Load().BodyBytes {
+		g.bodyBytes.Add(-bytes)
+		return nil, newRefusal(result.Overloaded, "too many bytes of requests in flight", notReadyRetryAfter)
 	}
-	return func() { g.bodies.Add(-bytes) }, nil
+	return func() { g.bodyBytes.Add(-bytes) }, nil
 }
 
-// refuse decides at the door whether a request is taken in.
-//
-// Load: a host that starts, stops, is cut off, or has more in flight than its
-// memory holds. Harm prevented: the request waits for what can't come, or is
-// answered by an old configuration. Nothing has run, and another host may serve.
-func (g *Gateway) refuse(c *configuration, inFlight int64) *Answer {
+// checkAdmission refuses requests while the host starts, stops, is cut off or has too many in
+// flight. A refused request has not run, so another host may serve it.
+func (g *Gateway) checkAdmission(c *configuration, inFlight int64) *Answer {
 	switch {
 	case c == nil || !g.servers.Listed():
-		return refused(result.NotReady, "no configuration yet", notReadyAfter)
+		return newRefusal(result.NotReady, "no configuration yet", notReadyRetryAfter)
 	case !g.evacuationsListed():
-		return refused(result.NotReady, "evacuated zones are not known yet", notReadyAfter)
+		return newRefusal(result.NotReady, "evacuated zones are not known yet", notReadyRetryAfter)
 	case g.phase() >= drain.PhaseRefusing:
-		return refused(result.Draining, "this host is stopping", elsewhereAfter)
+		return newRefusal(result.Draining, "this host is stopping", otherHostRetryAfter)
 	case g.cutOff():
-		return refused(result.CutOff, "neither the store nor a peer is heard", elsewhereAfter)
-	case inFlight > maxInFlight:
-		return refused(result.Overloaded, "too many requests in flight", notReadyAfter)
+		return newRefusal(result.CutOff, "neither the store nor a peer is heard", otherHostRetryAfter)
+	case inFlight > maxRequestsInFlight:
+		return newRefusal(result.Overloaded, "too many requests in flight", notReadyRetryAfter)
 	default:
 		return nil
 	}
 }
 
 func (g *Gateway) run(ctx context.Context, c *configuration, r *route.Route, service string, q Query) *Answer {
-	work := g.work(c, r, service, q)
-	answer := g.coordinators.of(&work).Run(ctx, work)
-	ctx, cancel := context.WithDeadline(ctx, work.Deadline)
+	querySpec := g.querySpec(c, r, service, q)
+	answer := g.coordinators.of(&querySpec).Run(ctx, querySpec)
+	ctx, cancel := context.WithDeadline(ctx, querySpec.Deadline)
 	defer cancel()
-	out := encode(ctx, r, answer)
+	out := toAnswer(ctx, r, answer)
 	took := g.options.Now().Sub(q.Arrived)
-	class := className(r) // the host name stands for the caller, who is not named here
+	class := className(r) // callers are not identified; the host name stands for them
 	g.metrics.Request(r.Host, class, answer.Code, took)
 	g.metrics.Coverage(r.Host, class, len(answer.Parts), answer.Total)
 	g.logAnswer(c, r, q, answer, took)
 	return out
 }
 
-func (g *Gateway) work(c *configuration, r *route.Route, service string, q Query) scatter.Work {
+func (g *Gateway) querySpec(c *configuration, r *route.Route, service string, q Query) scatter.Work {
 	class := className(r)
 	plan := scatter.Plan{
 		Request:       ident.NewRequestID(),
-		Snapshot:      c.single[service],
+		Snapshot:      c.singleService[service],
 		Started:       q.Arrived,
-		Deadline:      q.Arrived.Add(allowed(r, q)),
+		Deadline:      q.Arrived.Add(timeoutOf(r, q)),
 		LeastCoverage: 1,
 		Prefer:        bundle.PreferCoverage,
 		Idempotent:    r.Idempotent,
@@ -165,42 +157,40 @@
 	}
 }
 
-// setTarget sets when the caller's target passes, by the caller's clock. It began
-// to count before the request was sent: a new connection had to be opened, which
-// takes a round trip, and so will the answer's way. Of one that came back before
-// only its way is known.
+// setTarget sets when the caller's target latency passes, by the caller's clock. On a new
+// connection the clock has run since before the connection was opened; for a retry only the
+// round trip is known.
 func (g *Gateway) setTarget(plan *scatter.Plan, target time.Duration, class string, q Query) {
 	plan.Target = q.Arrived.Add(target)
-	used := g.callers.used(q.Arrived, class, q.Budget)
-	if used <= min(mostOpening, target/2) {
-		q.Connection.learn(used)
-		plan.Target = plan.Target.Add(-used)
+	elapsed := g.timeouts.elapsed(q.Arrived, class, q.Budget)
+	if elapsed <= min(maxConnectTime, target/2) {
+		q.Connection.recordRoundTrip(elapsed)
+		plan.Target = plan.Target.Add(-elapsed)
 	}
-	plan.Way = q.Connection.way()
+	plan.Way = q.Connection.rtt()
 }
 
-// longestWait is for a request that states no time on a route without one.
-const longestWait = 30 * time.Second
+// defaultTimeout applies if neither the request nor the route has a timeout.
+const defaultTimeout = 30 * time.Second
 
-// allowed is the time that a request may take: the caller's, and no more than
-// the operator lets the route wait.
-func allowed(r *route.Route, q Query) time.Duration {
-	wait := longestWait
+// timeoutOf returns the caller's timeout, bounded by that of the route.
+func timeoutOf(r *route.Route, q Query) time.Duration {
+	timeout := defaultTimeout
 	if r.Timeout > 0 {
-		wait = r.Timeout
+		timeout = r.Timeout
 	}
 	if q.Budget > 0 {
-		wait = min(wait, q.Budget)
+		timeout = min(timeout, q.Budget)
 	}
-	return wait
+	return timeout
 }
 
-func encode(ctx context.Context, r *route.Route, answer *scatter.Answer) *Answer {
-	var parts *Merged
-	if r.AsksAll() && answered(answer.Code) {
-		parts = merge(ctx, r, answer)
+func toAnswer(ctx context.Context, r *route.Route, answer *scatter.Answer) *Answer {
+	var merged *Merged
+	if r.AsksAll() && hasAnswer(answer.Code) {
+		merged = merge(ctx, r, answer)
 	}
-	out := &Answer{Code: answer.Code, Detail: answer.Detail, RetryAfter: answer.RetryAfter, Merged: parts}
+	out := &Answer{Code: answer.Code, Detail: answer.Detail, RetryAfter: answer.RetryAfter, Merged: merged}
 	switch {
 	case !r.AsksAll() && len(answer.Parts) == 1:
 		out.Reply = answer.Parts[0].Reply
@@ -210,7 +200,7 @@
 	return out
 }
 
-func answered(code result.Code) bool {
+func hasAnswer(code result.Code) bool {
 	return code.Group() == result.GroupComplete || code.Group() == result.GroupPartial
 }
 
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -12,42 +12,41 @@
 	"github.com/goldcrestspan/goldcrestspan/observe"
 )
 
-// ServerEntry is what a backend server says of itself in the store.
+// ServerEntry is a backend server's entry in the store.
 type ServerEntry struct {
 	// Name is the server's id. It may outlast a restart of the server.
 	Name string
-	// Incarnation tells the starts of a server apart: a later one's is higher.
-	// 0: the server does not say, and each start has a name of its own.
+	// Incarnation rises with each restart of a server; 0 if the server does not say, and then
+	// each start has a new name.
 	Incarnation uint64
 	Service     string
 	Address     string // IP and port
 	Zone        string // availability zone
-	Slots       int    // requests it serves at once; 0: not said
+	Slots       int    // concurrent requests; 0 if not stated
 	Leaving     bool
 	// ColdFor is how much longer the server is cold after its start.
 	ColdFor time.Duration
 }
 
-// sameState reports whether two entries say the same, but for how long the server is
-// still cold, which each of them says anew.
+// sameState reports whether two entries are equal except for the remaining ColdFor, which
+// each write updates.
 func (e ServerEntry) sameState(other ServerEntry) bool {
 	same := (e.ColdFor > 0) == (other.ColdFor > 0)
 	e.ColdFor, other.ColdFor = 0, 0
 	return same && e == other
 }
 
-// serverState is an entry as it was decoded last.
+// serverState is the last decoded entry of a server.
 type serverState struct {
-	revision metastore.Revision // of the object
+	revision metastore.Revision // of the stored object
 	entry    ServerEntry
 	valid    bool
-	// coldUntil is when the server is warm, by its last word.
+	// coldUntil is when the server is warm, by its last entry.
 	coldUntil time.Time
 }
 
-// applyServers takes the entries of all backend servers in. Only those that
-// have changed are decoded: hundreds of servers change one by one, on hosts
-// with a fifth of a core.
+// applyServers applies the entries of all backend servers. It decodes only those that have
+// changed, since entries change one at a time and hosts may have a fraction of a core.
 func (g *Gateway) applyServers(objects []metastore.Object, revision metastore.Revision) {
 	g.serversMu.Lock()
 	defer g.serversMu.Unlock()
@@ -58,14 +57,14 @@
 	}
 	g.dropServers(objects)
 	g.publishServers()
-	g.serversAt.Store(uint64(revision))
+	g.serversRevision.Store(uint64(revision))
 	g.announce()
 }
 
-// publishServers tells homes and ways between hosts which backend servers may get
-// requests. serversMu is held.
+// publishServers updates the servers that homes and peers may send requests to. serversMu is
+// held.
 func (g *Gateway) publishServers() {
-	known := make(map[string][]homeserver.Known)
+	byService := make(map[string][]homeserver.Known)
 	inService := make(map[string]backend.Server, len(g.serverKeys))
 	rules := g.nextRules()
 	for _, key := range g.serverKeys {
@@ -73,27 +72,27 @@
 		if !state.valid {
 			continue
 		}
-		k := g.known(state, rules)
-		known[state.entry.Service] = append(known[state.entry.Service], k)
-		if !k.Leaving {
-			inService[state.entry.Name] = k.Server
+		server := g.knownServer(state, rules)
+		byService[state.entry.Service] = append(byService[state.entry.Service], server)
+		if !server.Leaving {
+			inService[state.entry.Name] = server.Server
 		}
-		if k.Warmup.For > 0 && !k.ColdUntil.IsZero() {
-			rules.Cold[state.entry.Name] = k.ColdUntil
+		if server.Warmup.For > 0 && !server.ColdUntil.IsZero() {
+			rules.Cold[state.entry.Name] = server.ColdUntil
 		}
 	}
 	g.rules.Store(rules)
 	g.inService.Store(&inService)
-	g.farServer.setServers(inService)
-	g.homes.SetServers(known)
+	g.proxyServer.setServers(inService)
+	g.homes.SetServers(byService)
 	g.countZones()
 }
 
-// known is a backend server as the homes are told of it. One in an evacuated zone gets
-// no new work, like one that leaves, and what runs there ends in peace.
-func (g *Gateway) known(state serverState, rules *eligible.Rules) homeserver.Known {
+// knownServer converts a server's state for the homes. A server in an evacuated zone is treated
+// like one that is leaving: it gets no new work, and its running work may finish.
+func (g *Gateway) knownServer(state serverState, rules *eligible.Rules) homeserver.Known {
 	entry := state.entry
-	k := homeserver.Known{
+	server := homeserver.Known{
 		Server:    serverOf(entry),
 		SameZone:  entry.Zone == g.options.Zone,
 		Leaving:   entry.Leaving || rules.Zone(entry.Zone, nil) != eligible.Allowed,
@@ -102,10 +101,10 @@
 		ColdUntil: state.coldUntil,
 		Warmup:    g.warming.limits(entry.Service, entry.Zone),
 	}
-	if back := rules.Evacuations.ColdUntil(entry.Zone, k.Warmup.For); back.After(k.ColdUntil) {
-		k.ColdUntil = back
+	if readmitted := rules.Evacuations.ColdUntil(entry.Zone, server.Warmup.For); readmitted.After(server.ColdUntil) {
+		server.ColdUntil = readmitted
 	}
-	return k
+	return server
 }
 
 func serverOf(entry ServerEntry) backend.Server {
@@ -114,9 +113,9 @@
 	}
 }
 
-// countZones counts the backend servers of each availability zone. Only those of
-// services that the configuration names count: whatever else is written below the
-// servers' prefix must not decide which hosts carry the traffic.
+// countZones counts the backend servers in each availability zone, but only those of
+// configured services: other entries below the prefix must not affect which hosts carry the
+// traffic.
 func (g *Gateway) countZones() {
 	g.zonesMu.Lock()
 	defer g.zonesMu.Unlock()
@@ -125,20 +124,20 @@
 	if servers == nil || config == nil {
 		return
 	}
-	zones := make(map[string]int)
+	zoneServers := make(map[string]int)
 	for _, server := range *servers {
-		if _, named := config.Service(server.Service); named {
-			zones[server.Zone]++
+		if _, found := config.Service(server.Service); found {
+			zoneServers[server.Zone]++
 		}
 	}
-	g.zones.Store(&zones)
+	g.zoneServers.Store(&zoneServers)
 	g.split.Store(g.inForce.Load().splitServices(*servers))
 }
 
-// decodeServer decodes an entry if it has changed, and writes a line about it.
+// decodeServer decodes an entry if it has changed, and logs the change.
 func (g *Gateway) decodeServer(object metastore.Object) {
-	before, seen := g.serverStates[object.Key]
-	if seen && before.revision == object.Revision {
+	previous, seen := g.serverStates[object.Key]
+	if seen && previous.revision == object.Revision {
 		return
 	}
 	entry, err := g.options.Decode.Server(object)
@@ -146,51 +145,47 @@
 	if entry.ColdFor > 0 {
 		state.coldUntil = g.options.Now().Add(entry.ColdFor)
 	}
-	earlier := err == nil && g.outlived(entry)
-	if earlier { // what was believed stays
-		state.entry, state.valid, state.coldUntil = before.entry, before.valid, before.coldUntil
+	stale := err == nil && g.isStale(entry)
+	if stale { // keep the previous state
+		state.entry, state.valid, state.coldUntil = previous.entry, previous.valid, previous.coldUntil
 	}
 	g.serverStates[object.Key] = state
 	switch {
 	case err != nil:
 		g.log.Warn("backend server's entry can't be read and is left out", zap.String("key", object.Key), observe.Revision("revision", object.Revision), observe.Reason(err))
-	case earlier:
+	case stale:
 		g.log.Info("backend server's entry is of an earlier start and is left out", zap.String("server", entry.Name), zap.Uint64("incarnation", entry.Incarnation), observe.Revision("revision", object.Revision))
-	case !seen || !before.entry.sameState(entry):
-		g.dropConnections(before.entry, entry)
+	case !seen || !previous.entry.sameState(entry):
+		g.closeOldConnections(previous.entry, entry)
 		g.log.Info("backend server", zap.String("server", entry.Name), zap.String("service", entry.Service),
 			zap.String("address", entry.Address), zap.String("zone", entry.Zone), zap.Uint64("incarnation", entry.Incarnation),
 			zap.Bool("leaving", entry.Leaving), zap.Duration("cold_for", entry.ColdFor), observe.Revision("revision", object.Revision))
 	}
 }
 
-// outlived reports whether a later start of the server is known; else it remembers
-// this one.
-//
-// Failure: a server crashes with a write to the store on its way and starts again
-// under its id; the write is done seconds later. It shows as a server whose old
-// address, or whose draining before the crash, is believed again. The guard holds
-// because the newest start of each id is remembered, also while its entry is gone.
-func (g *Gateway) outlived(entry ServerEntry) bool {
+// isStale reports whether a newer incarnation of the server is known, and remembers this one
+// otherwise. A write that was delayed past a restart must not bring back the old address or
+// drain state, even if the server's entry was deleted meanwhile.
+func (g *Gateway) isStale(entry ServerEntry) bool {
 	if entry.Incarnation == 0 {
 		return false
 	}
-	if newest, known := g.newestStarts.Get(entry.Name); known && newest > entry.Incarnation {
+	if newest, known := g.newestIncarnations.Get(entry.Name); known && newest > entry.Incarnation {
 		return true
 	}
-	g.newestStarts.Add(entry.Name, entry.Incarnation)
+	g.newestIncarnations.Add(entry.Name, entry.Incarnation)
 	return false
 }
 
-// dropConnections closes the idle connections to a server that was started
-// again or has moved: calls on them would end as unknown though none has run.
-func (g *Gateway) dropConnections(before, now ServerEntry) {
-	if before.Address != "" && (before.Incarnation != now.Incarnation || before.Address != now.Address) {
-		g.options.Backends.Trim(serverOf(before), 0)
+// closeOldConnections closes the idle connections to a server that has restarted or moved.
+// Calls on them would end as unknown although none has run.
+func (g *Gateway) closeOldConnections(previous, current ServerEntry) {
+	if previous.Address != "" && (previous.Incarnation != current.Incarnation || previous.Address != current.Address) {
+		g.options.Backends.Trim(serverOf(previous), 0)
 	}
 }
 
-// dropServers forgets the servers that are no longer among the objects.
+// dropServers removes the servers that are no longer listed.
 func (g *Gateway) dropServers(objects []metastore.Object) {
 	if len(g.serverStates) == len(objects) {
 		return
@@ -202,7 +197,7 @@
 	for key, state := range g.serverStates {
 		if !listed[key] {
 			delete(g.serverStates, key)
-			g.dropConnections(state.entry, ServerEntry{})
+			g.closeOldConnections(state.entry, ServerEntry{})
 			g.log.Info("backend server is gone", zap.String("server", state.entry.Name), zap.String("service", state.entry.Service))
 		}
 	}
--- a/gateway/split.go
+++ b/gateway/split.go
@@ -7,39 +7,39 @@
 	"github.com/goldcrestspan/goldcrestspan/route"
 )
 
-// splitServices are the services of the searches that are split.
+// splitServices are the services of searches that are split between hosts.
 type splitServices struct {
-	services []place.Service
-	largest  int // services of the largest such search
+	services     []place.Service
+	largestSplit int // services of the largest split search
 }
 
-// sharedServices lists the services that hosts share; see entry.Homes.
-func (g *Gateway) sharedServices() (services []place.Service, largest int) {
+// sharedServices returns the services whose homes are spread over hosts; see entry.Homes.
+func (g *Gateway) sharedServices() (services []place.Service, largestSplit int) {
 	if split := g.split.Load(); split != nil {
-		return split.services, split.largest
+		return split.services, split.largestSplit
 	}
 	return nil, 0
 }
 
-// noteSplit notes the services of the route if its searches are split.
-func (c *configuration) noteSplit(r *route.Route) {
+// addSplit records the services of the route if its searches are split.
+func (c *configuration) addSplit(r *route.Route) {
 	if !entry.Splits(len(r.Shards)) {
 		return
 	}
-	c.largest = max(c.largest, len(r.Shards))
+	c.largestSplit = max(c.largestSplit, len(r.Shards))
 	for _, service := range r.Shards {
-		c.split[service] = true
+		c.isSplit[service] = true
 	}
 }
 
-// splitServices are the services of split searches that have servers, with the
-// availability zones of these.
+// splitServices returns the services of split searches that have servers, with the servers'
+// availability zones.
 func (c *configuration) splitServices(servers map[string]backend.Server) *splitServices {
-	var asked []backend.Server
+	var relevant []backend.Server
 	for _, server := range servers {
-		if c.split[server.Service] {
-			asked = append(asked, server)
+		if c.isSplit[server.Service] {
+			relevant = append(relevant, server)
 		}
 	}
-	return &splitServices{services: place.Services(asked), largest: c.largest}
+	return &splitServices{services: place.Services(relevant), largestSplit: c.largestSplit}
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -8,18 +8,18 @@
 	"github.com/goldcrestspan/goldcrestspan/observe"
 )
 
-// leaveWait bounds telling the peers.
-const leaveWait = time.Second
+// leaveTimeout bounds announcing the stop to the peers.
+const leaveTimeout = time.Second
 
-// plannedStop leaves the advice, serves on while callers may keep old advice,
-// refuses new work, and returns when nothing is in flight or the limit passed.
-func (g *Gateway) plannedStop(live context.Context) {
-	stop := drain.Begin(g.options.Now(), keepFactor*AdviceKeep, g.tuning.Load().StopWithin)
+// plannedStop removes this host from the advice, keeps serving while callers may hold older
+// advice, then refuses new work, and returns when nothing is in flight or on timeout.
+func (g *Gateway) plannedStop(runCtx context.Context) {
+	stop := drain.Begin(g.options.Now(), adviceTTLFactor*AdviceKeep, g.reloadable.Load().StopWithin)
 	g.stop.Store(stop)
-	ctx, cancel := context.WithTimeout(live, leaveWait)
+	ctx, cancel := context.WithTimeout(runCtx, leaveTimeout)
 	defer cancel()
 	if err := g.members.Leave(ctx); err != nil {
-		g.log.Warn("peers were not told of the stop", observe.Reason(err))
+		g.log.Warn("failed to announce the stop to peers", observe.Reason(err))
 	}
-	stop.Wait(live, g.options.Now, func() int { return int(g.inFlight.Load() + g.homeLegs.open.Load()) }, g.log)
+	stop.Wait(runCtx, g.options.Now, func() int { return int(g.inFlight.Load() + g.homeLegRunner.running.Load()) }, g.log)
 }
--- a/gateway/warming.go
+++ b/gateway/warming.go
@@ -14,26 +14,24 @@
 	"github.com/goldcrestspan/goldcrestspan/place"
 )
 
-// warming says which cold servers this host may send to, and how much: of each server
-// one host of its availability zone, the home of its service there or, where hosts share
-// no services, the one that parts of other zones come through. Guarded by
-// Gateway.serversMu.
+// warming decides which cold servers this host may send to, and at what rate. Each cold
+// server is warmed by one host of its availability zone: the home of its service, or, for
+// services that are not spread, the zone's proxy. It is guarded by Gateway.serversMu.
 type warming struct {
 	self   ident.HostID
 	zone   string // availability zone of this host
 	bounds eligible.WarmupBounds
-	// services are those whose servers bear little while they are cold.
+	// services holds those whose servers get limited load while cold.
 	services map[string]eligible.Warmup
 
-	zoneTurn eligible.Turn // to warm what is not shared
-	homeTurn eligible.Turn // to warm servers of the services that are homed here
-	placed   *place.Homes  // of the homes that homeTurn is for
-	split    map[string]bool
-	// now in force
+	zoneTurn              eligible.Turn // to warm services that are not spread
+	homeTurn              eligible.Turn // to warm services whose home is here
+	placement             *place.Homes  // placement that homeTurn applies to
+	split                 map[string]bool
 	warmsZone, warmsHomed bool
 }
 
-// limits are the bounds of this host on servers of the service in the zone.
+// limits returns this host's bounds for servers of the service in the zone.
 func (w *warming) limits(service, zone string) home.Warmup {
 	warmup, bounded := w.services[service]
 	if !bounded {
@@ -47,15 +45,14 @@
 }
 
 func (w *warming) warms(service string) bool {
-	if w.placed == nil || !w.split[service] {
+	if w.placement == nil || !w.split[service] {
 		return w.warmsZone
 	}
-	first, _ := w.placed.Of(service)
+	first, _ := w.placement.Of(service)
 	return w.warmsHomed && first == w.self
 }
 
-// configure takes in which services bear little while they are cold, and reports whether
-// that has changed.
+// configure sets the services with a warmup limit, and reports whether they have changed.
 func (w *warming) configure(services map[string]eligible.Warmup, split map[string]bool) bool {
 	w.split = split
 	if maps.Equal(services, w.services) {
@@ -65,24 +62,25 @@
 	return true
 }
 
-// look takes in who is there now, and reports whether this host's part has changed.
-func (w *warming) look(now time.Time, view *member.View, placed *place.Homes, contact eligible.Contact) bool {
+// update applies the current membership and placement, and reports whether this host's part
+// in warming has changed.
+func (w *warming) update(now time.Time, view *member.View, placement *place.Homes, contact eligible.Contact) bool {
 	proxy, known := entry.Proxies(view)[w.zone]
 	w.zoneTurn.Set(now, known && proxy.ID == w.self)
-	moved := placed != w.placed
+	moved := placement != w.placement
 	if moved {
-		w.placed = placed
+		w.placement = placement
 		w.homeTurn.Restart()
 	}
-	w.homeTurn.Set(now, placed != nil)
+	w.homeTurn.Set(now, placement != nil)
 	zone, homed := w.zoneTurn.Warms(now, contact), w.homeTurn.Warms(now, contact)
 	changed := moved || zone != w.warmsZone || homed != w.warmsHomed
 	w.warmsZone, w.warmsHomed = zone, homed
 	return changed
 }
 
-// lookAtWarming finds out anew which cold servers this host warms.
-func (g *Gateway) lookAtWarming() {
+// updateWarming determines which cold servers this host warms.
+func (g *Gateway) updateWarming() {
 	g.serversMu.Lock()
 	defer g.serversMu.Unlock()
 	if len(g.warming.services) == 0 {
@@ -90,18 +88,18 @@
 	}
 	view := g.members.View()
 	contact := eligible.Contact{Alone: len(view.Hosts) < 2, HeardAt: g.members.PeerHeardAt()}
-	if !g.warming.look(g.options.Now(), view, g.sharedHomes.within(g.options.Zone), contact) {
+	if !g.warming.update(g.options.Now(), view, g.sharedHomes.withinZone(g.options.Zone), contact) {
 		return
 	}
 	g.log.Info("part in warming cold servers", zap.Bool("of_zone", g.warming.warmsZone), zap.Bool("of_homed_services", g.warming.warmsHomed))
 	g.publishServers()
 }
 
-// configureWarming takes in what the configuration in force says of cold servers.
+// configureWarming applies the warmup limits of the configuration.
 func (g *Gateway) configureWarming(c *configuration) {
 	g.serversMu.Lock()
 	defer g.serversMu.Unlock()
-	if g.warming.configure(c.warmups, c.split) {
+	if g.warming.configure(c.warmups, c.isSplit) {
 		g.publishServers()
 	}
 }
