--- a/exchange/client.go
+++ b/exchange/client.go
@@ -12,28 +12,28 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// redialAfter bounds how often a peer that can't be reached is dialled, so that
-// a dead host costs one dial each 100 ms and not one for each leg.
-const redialAfter = 100 * time.Millisecond
+// redialInterval is the least time between attempts to connect to a peer, so that an
+// unreachable peer costs one dial per interval instead of one per leg.
+const redialInterval = 100 * time.Millisecond
 
-// Client sends legs to peers. Its links open with the first leg to a peer and
-// close when idle.
+// Client sends legs to peers. A link opens with the first leg to a peer and closes when
+// idle.
 type Client struct {
 	ctx  context.Context
 	pool *peer.Pool
-	self *exchangepb.Frame // hello
+	self *exchangepb.Frame // hello frame
 	now  func() time.Time
-	// Silence of its links; set it before the first leg.
+	// Liveness of the links; set it before the first leg.
 	Silence Silence
-	// OnSilent hears of services of which no server answers a peer that owes replies;
-	// set it before the first leg. It must not block.
+	// OnUnresponsive is called with services of which no server answers a peer that owes
+	// replies; set it before the first leg. It must not block.
 	OnSilent func(service string)
 
 	mu    sync.Mutex
-	peers map[string]*remote // by peers' address
+	peers map[string]*peerRunner // by peer address
 }
 
-// NewClient makes a client whose links live until ctx ends.
+// NewClient returns a client whose links last until ctx ends.
 func NewClient(ctx context.Context, pool *peer.Pool, self ident.HostID, incarnation ident.Incarnation, now func() time.Time) *Client {
 	return &Client{
 		ctx:  ctx,
@@ -41,10 +41,10 @@
 		self: hello(self, incarnation),
 		now:  now,
 
-		Silence:  defaultSilence,
+		Silence:  defaultLiveness,
 		OnSilent: func(string) {},
 
-		peers: make(map[string]*remote),
+		peers: make(map[string]*peerRunner),
 	}
 }
 
@@ -54,20 +54,16 @@
 	defer c.mu.Unlock()
 	r := c.peers[address]
 	if r == nil {
-		r = &remote{client: c, address: address}
+		r = &peerRunner{client: c, address: address}
 		c.peers[address] = r
 	}
 	return r
 }
 
-// Doubts reports whether the peer owes replies and is silent, or can't be reached. A
-// peer whose link broke with legs on it is doubted until it has answered on a new one,
-// which is opened meanwhile.
-//
-// Failure: a host loses power. Its link is dropped after Dead, the next leg dials, and
-// connecting waits for as long as nobody answers. It shows as searches that lack the
-// host's part for seconds, until membership has noticed. The guard holds because no leg
-// goes to a host that was silent before it has sent a frame.
+// Suspects reports whether the peer owes replies and is silent, or can't be reached. A peer
+// whose link broke with open legs stays suspected until it answers on a new link, which is
+// opened in the background. Otherwise each new dial to a host that lost power would hold up
+// legs until membership notices.
 func (c *Client) Doubts(address string) bool {
 	c.mu.Lock()
 	r := c.peers[address]
@@ -78,30 +74,30 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.link != nil {
-		return r.link.doubtful()
+		return r.link.suspected()
 	}
 	now := c.now()
 	if r.dialing {
-		return r.suspect || now.Sub(r.dialed) >= c.Silence.Doubt
+		return r.suspect || now.Sub(r.dialStart) >= c.Silence.Doubt
 	}
-	if r.suspect && now.Sub(r.failed) >= redialAfter {
+	if r.suspect && now.Sub(r.failedAt) >= redialInterval {
 		r.startDial(now)
 	}
 	return r.suspect
 }
 
-// remote is one peer: its open link, or the legs that wait for it to open.
-type remote struct {
+// peerRunner is one peer: its open link, or the legs that wait for the link to open.
+type peerRunner struct {
 	client  *Client
 	address string
 
-	mu      sync.Mutex
-	link    *link
-	dialing bool
-	dialed  time.Time // when the dial under way began
-	failed  time.Time // last failed dial, or end of a link with legs on it
-	suspect bool      // since then the peer has not answered
-	waiting []*waitingLeg
+	mu        sync.Mutex
+	link      *link
+	dialing   bool
+	dialStart time.Time // start of the current dial
+	failedAt  time.Time // last failed dial, or end of a link with open legs
+	suspect   bool      // no frame since the last failure
+	waiting   []*waitingLeg
 }
 
 type waitingLeg struct {
@@ -109,22 +105,22 @@
 	done    func(leg.Result)
 
 	mu      sync.Mutex
-	dropped bool
+	aborted bool
 	cancel  func() // set once the leg is on a link
 }
 
 // Run implements leg.Runner.
-func (r *remote) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
+func (r *peerRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
 	r.mu.Lock()
 	if r.link != nil {
 		l := r.link
 		if id, ok := l.add(request, done); ok {
 			r.mu.Unlock()
-			return func() { l.drop(id) }
+			return func() { l.cancelLeg(id) }
 		}
 		r.link = nil
 	}
-	if r.client.now().Sub(r.failed) < redialAfter {
+	if r.client.now().Sub(r.failedAt) < redialInterval {
 		r.mu.Unlock()
 		done(leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, "the home can't be reached"))
 		return func() {}
@@ -135,73 +131,73 @@
 		r.startDial(r.client.now())
 	}
 	r.mu.Unlock()
-	return w.drop
+	return w.cancelLeg
 }
 
 // startDial opens a link in the background; the lock is held.
-func (r *remote) startDial(now time.Time) {
-	r.dialing, r.dialed = true, now
+func (r *peerRunner) startDial(now time.Time) {
+	r.dialing, r.dialStart = true, now
 	go r.open()
 }
 
-func (w *waitingLeg) drop() {
+func (w *waitingLeg) cancelLeg() {
 	w.mu.Lock()
 	cancel := w.cancel
-	first := !w.dropped
-	w.dropped = true
+	firstTime := !w.aborted
+	w.aborted = true
 	w.mu.Unlock()
 	switch {
 	case cancel != nil:
 		cancel()
-	case first:
+	case firstTime:
 		w.done(leg.Failed(w.request, result.Cancelled, result.OutcomeUnsent, "cancelled"))
 	}
 }
 
-func (r *remote) open() {
+func (r *peerRunner) open() {
 	l, ctx, err := r.dial()
 	r.mu.Lock()
 	waiting := r.waiting
 	r.waiting = nil
 	r.dialing = false
 	if err != nil {
-		r.failed, r.suspect = r.client.now(), true
+		r.failedAt, r.suspect = r.client.now(), true
 	} else {
 		r.link = l
 		if r.suspect {
-			l.prove()
+			l.verify()
 		}
 	}
 	r.mu.Unlock()
 	for _, w := range waiting {
-		w.place(l)
+		w.assign(l)
 	}
 	if err == nil {
 		r.serve(ctx, l)
 	}
 }
 
-// place puts a leg that waited for the dial on the link, or ends it.
-func (w *waitingLeg) place(l *link) {
+// assign puts a leg that waited for the dial on the link, or ends it.
+func (w *waitingLeg) assign(l *link) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.dropped {
+	if w.aborted {
 		return
 	}
 	if l != nil {
 		if id, ok := l.add(w.request, w.done); ok {
-			w.cancel = func() { l.drop(id) }
+			w.cancel = func() { l.cancelLeg(id) }
 			return
 		}
 	}
-	w.dropped = true
+	w.aborted = true
 	w.done(leg.Failed(w.request, result.HomeUnavailable, result.OutcomeUnsent, "the home can't be reached"))
 }
 
-func (r *remote) dial() (*link, context.Context, error) {
-	dialing, done := context.WithTimeout(r.client.ctx, r.client.Silence.Dead)
-	defer done()
-	conn, err := r.client.pool.Dial(dialing, r.address)
+func (r *peerRunner) dial() (*link, context.Context, error) {
+	dialCtx, cancelDial := context.WithTimeout(r.client.ctx, r.client.Silence.Dead)
+	defer cancelDial()
+	conn, err := r.client.pool.Dial(dialCtx, r.address)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -219,7 +215,7 @@
 }
 
 // serve runs the link's goroutines and cleans up when the first one ends.
-func (r *remote) serve(ctx context.Context, l *link) {
+func (r *peerRunner) serve(ctx context.Context, l *link) {
 	go l.write(ctx)
 	go l.watch(ctx)
 	go l.read()
@@ -232,6 +228,6 @@
 	}
 	r.suspect = broken
 	if broken {
-		r.failed = r.client.now()
+		r.failedAt = r.client.now()
 	}
 }
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -1,7 +1,6 @@
-// Package exchange carries legs between entry hosts: one long-lived drpc
-// stream for each pair of hosts that have work for each other, on which the
-// frames of many queries are batched. A leg goes to the home of its service, or to
-// one backend server that the sender has chosen and the receiver is near to.
+// Package exchange carries legs between entry hosts over one long-lived drpc stream per pair
+// of hosts, on which the messages of many queries are batched into frames. A leg goes to the
+// home of its service, or to a backend server that the sender names.
 package exchange
 
 import (
@@ -14,8 +13,7 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// encodeRequest writes the time that is left, not the time of day: the hosts'
-// clocks may differ.
+// encodeRequest sends the remaining time, since the hosts' clocks may differ.
 func encodeRequest(id uint64, r leg.Request, now time.Time) *exchangepb.LegRequest {
 	return &exchangepb.LegRequest{
 		Leg:          id,
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -13,69 +13,68 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// Silence says what a link without frames means while legs are open on it.
+// LivenessTimeouts are the times without a frame on a link with open legs.
 type Silence struct {
-	// Ping is how long it may last before the peer is pinged.
+	// PingAfter is when the peer is pinged.
 	Ping time.Duration
-	// Doubt is how long it may last before Client.Doubts says so, for callers
-	// that have another way.
+	// SuspectAfter is when Client.Suspects reports the peer.
 	Doubt time.Duration
-	// Dead is how long it may last before the link is dropped.
+	// DropAfter is when the link is dropped.
 	Dead time.Duration
 }
 
-// defaultSilence drops a link after four pings lost, and still inside the
-// deadline of most queries, so that their legs can move to the second home.
-var defaultSilence = Silence{Ping: 200 * time.Millisecond, Doubt: 500 * time.Millisecond, Dead: time.Second}
+// defaultLiveness drops a link after four lost pings, within the deadline of most queries, so
+// that their legs can move to the second home.
+var defaultLiveness = Silence{Ping: 200 * time.Millisecond, Doubt: 500 * time.Millisecond, Dead: time.Second}
 
-// idleAfter closes streams that carried no leg for this long.
-const idleAfter = time.Minute
+// idleTimeout is how long a stream stays open without legs.
+const idleTimeout = time.Minute
 
-// link is one open stream to a peer, as the side that sends legs.
+// link is an open stream to a peer, on the side that sends legs.
 type link struct {
-	conn   drpc.Conn
-	stream exchangepb.DRPCExchange_LegsClient
-	cancel context.CancelFunc
-	out    *outbox
-	now    func() time.Time
-	limits Silence
-	// onSilent hears of services of which no server answers the peer.
-	onSilent func(service string)
+	conn     drpc.Conn
+	stream   exchangepb.DRPCExchange_LegsClient
+	cancel   context.CancelFunc
+	out      *outbox
+	now      func() time.Time
+	liveness Silence
+	// onUnresponsive is called with services of which no server answers the peer.
+	onUnresponsive func(service string)
 
-	mu      sync.Mutex
-	nextLeg uint64
-	pending map[uint64]*pendingLeg
-	heads   heads
-	heard   time.Time // last frame from the peer
-	used    time.Time // last leg added
-	proving bool      // the peer was silent before, and has sent nothing on this link
-	closed  bool
+	mu        sync.Mutex
+	nextLeg   uint64
+	pending   map[uint64]*pendingLeg
+	heads     heads
+	lastFrame time.Time // last frame from the peer
+	lastUsed  time.Time // last leg added
+	verifying bool      // the peer was suspected and has sent nothing on this link
+	closed    bool
 }
 
 type pendingLeg struct {
 	request leg.Request
 	done    func(leg.Result)
-	sent    bool // the writer has taken it: it may have reached the peer
+	sent    bool // taken by the writer; may have reached the peer
 }
 
 func newLink(conn drpc.Conn, stream exchangepb.DRPCExchange_LegsClient, cancel context.CancelFunc, c *Client) *link {
 	now := c.now
 	return &link{
-		conn:     conn,
-		stream:   stream,
-		cancel:   cancel,
-		out:      newOutbox(),
-		now:      now,
-		limits:   c.Silence,
-		onSilent: c.OnSilent,
-		pending:  make(map[uint64]*pendingLeg),
-		heads:    heads{open: make(map[*forward.Request]*openHead)},
-		heard:    now(),
-		used:     now(),
+		conn:           conn,
+		stream:         stream,
+		cancel:         cancel,
+		out:            newOutbox(),
+		now:            now,
+		liveness:       c.Silence,
+		onUnresponsive: c.OnSilent,
+		pending:        make(map[uint64]*pendingLeg),
+		heads:          heads{open: make(map[*forward.Request]*sharedHead)},
+		lastFrame:      now(),
+		lastUsed:       now(),
 	}
 }
 
-// add queues a leg; false when the link has closed and the leg was not taken.
+// add queues a leg; false if the link has closed and the leg was not taken.
 func (l *link) add(request leg.Request, done func(leg.Result)) (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,27 +82,27 @@
 		return 0, false
 	}
 	if len(l.pending) == 0 {
-		// Silence counts only while the peer owes something.
-		l.heard = l.now()
+		// Silence counts only while legs are open.
+		l.lastFrame = l.now()
 	}
 	l.nextLeg++
 	id := l.nextLeg
 	l.pending[id] = &pendingLeg{request: request, done: done}
-	l.used = l.now()
+	l.lastUsed = l.now()
 	if !l.out.put(item{request: l.encode(id, request)}) {
-		l.forget(id)
+		l.remove(id)
 		return 0, false
 	}
 	return id, true
 }
 
-// encode makes the leg's message, after its head where that was not sent yet;
-// the lock is held.
+// encode builds the leg's message and queues the leg's head if it was not sent yet; the lock is
+// held.
 func (l *link) encode(id uint64, request leg.Request) *exchangepb.LegRequest {
 	if request.Forward == nil {
 		return encodeRequest(id, request, l.now())
 	}
-	head, first := l.heads.use(request.Forward)
+	head, first := l.heads.acquire(request.Forward)
 	if first {
 		l.out.put(item{head: encodeHead(head, request, l.now())})
 	}
@@ -113,26 +112,26 @@
 	return encodeNamed(id, head, request, l.now())
 }
 
-// forget takes a leg out, with its head if no other leg has it; the lock is held.
-func (l *link) forget(id uint64) *pendingLeg {
+// remove deletes a leg, and its head if no other leg uses it; the lock is held.
+func (l *link) remove(id uint64) *pendingLeg {
 	p := l.pending[id]
 	delete(l.pending, id)
 	if p == nil || p.request.Forward == nil {
 		return p
 	}
 	if head, last := l.heads.release(p.request.Forward); last {
-		l.out.put(item{ended: head})
+		l.out.put(item{endedHead: head})
 	}
 	return p
 }
 
-// drop cancels a leg; its done function is called at once.
-func (l *link) drop(id uint64) {
+// cancelLeg cancels a leg; its done function is called at once.
+func (l *link) cancelLeg(id uint64) {
 	l.mu.Lock()
 	if l.pending[id] != nil {
 		l.out.put(item{cancel: &exchangepb.LegCancel{Leg: id}})
 	}
-	p := l.forget(id)
+	p := l.remove(id)
 	l.mu.Unlock()
 	if p == nil {
 		return
@@ -156,8 +155,8 @@
 	})
 }
 
-// markSent marks legs before their frame is written: once any byte may have
-// left, a leg is never again called unsent.
+// markSent marks legs before their frame is written, since a partly written frame may already
+// have reached the peer.
 func (l *link) markSent(batch []item) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,7 +170,7 @@
 	}
 }
 
-// read takes replies in until the stream breaks.
+// read handles frames until the stream breaks.
 func (l *link) read() {
 	defer l.cancel()
 	for {
@@ -180,7 +179,7 @@
 			return
 		}
 		l.mu.Lock()
-		l.heard, l.proving = l.now(), false
+		l.lastFrame, l.verifying = l.now(), false
 		l.mu.Unlock()
 		if frame.GetPing() != 0 {
 			l.out.put(item{pong: frame.GetPing()})
@@ -189,14 +188,14 @@
 			l.deliver(reply)
 		}
 		for _, service := range frame.GetSilent() {
-			l.onSilent(service)
+			l.onUnresponsive(service)
 		}
 	}
 }
 
 func (l *link) deliver(reply *exchangepb.LegReply) {
 	l.mu.Lock()
-	p := l.forget(reply.GetLeg())
+	p := l.remove(reply.GetLeg())
 	l.mu.Unlock()
 	switch {
 	case p == nil:
@@ -209,14 +208,11 @@
 	}
 }
 
-// watch drops the stream when the peer owes replies and is silent.
-//
-// Failure: something between the hosts has lost track of the connection; it
-// shows as open legs and no frame, not even a pong, while writes still seem to
-// succeed. The guard holds because a live peer answers a ping at once, however
-// slow its backend servers are.
+// watch drops the stream if legs are open and the peer is silent. Writes can keep succeeding on
+// a lost connection, while a live peer answers pings at once, however slow its backend servers
+// are.
 func (l *link) watch(ctx context.Context) {
-	ticker := time.NewTicker(l.limits.Ping)
+	ticker := time.NewTicker(l.liveness.Ping)
 	defer ticker.Stop()
 	sequence := uint64(0)
 	for {
@@ -225,53 +221,52 @@
 			return
 		case <-ticker.C:
 		}
-		silent, unused, open := l.ages()
-		if open && silent >= l.limits.Dead || !open && unused >= idleAfter {
+		silentFor, unusedFor, open := l.idleTimes()
+		if open && silentFor >= l.liveness.Dead || !open && unusedFor >= idleTimeout {
 			l.cancel()
 			return
 		}
-		if open && silent >= l.limits.Ping {
+		if open && silentFor >= l.liveness.Ping {
 			sequence++
 			l.out.put(item{ping: sequence})
 		}
 	}
 }
 
-// doubtful reports whether the peer owes replies and has been silent for so long
-// that new legs should rather go another way.
-func (l *link) doubtful() bool {
+// suspected reports whether new legs should avoid the peer: legs are open and it has been silent
+// for SuspectAfter, or it has yet to send its first frame after a failure.
+func (l *link) suspected() bool {
 	l.mu.Lock()
-	proving := l.proving
+	verifying := l.verifying
 	l.mu.Unlock()
-	silent, _, open := l.ages()
-	return proving || open && silent >= l.limits.Doubt
+	silentFor, _, open := l.idleTimes()
+	return verifying || open && silentFor >= l.liveness.Doubt
 }
 
-// firstPing is the number of the ping on a link that is to be proved.
-const firstPing = 1 << 63
+// verifyPing is the sequence number of the ping that verify sends.
+const verifyPing = 1 << 63
 
-// prove makes the link doubtful until the peer has sent a frame, and asks for one.
-func (l *link) prove() {
+// verify pings the peer and keeps the link suspected until the peer sends a frame.
+func (l *link) verify() {
 	l.mu.Lock()
-	l.proving = true
+	l.verifying = true
 	l.mu.Unlock()
-	l.out.put(item{ping: firstPing})
+	l.out.put(item{ping: verifyPing})
 }
 
-func (l *link) ages() (silent, unused time.Duration, open bool) {
+func (l *link) idleTimes() (silentFor, unusedFor time.Duration, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	return now.Sub(l.heard), now.Sub(l.used), len(l.pending) > 0
+	return now.Sub(l.lastFrame), now.Sub(l.lastUsed), len(l.pending) > 0
 }
 
-// close ends every leg that is still open: those never sent surely did not
-// run, of the others nothing is known. broken says that there were some, or that the
-// peer never answered.
+// close ends all open legs: those that were never sent as unsent, the others as unknown. broken
+// reports that there were some, or that the peer never answered.
 func (l *link) close() (broken bool) {
 	l.mu.Lock()
 	l.closed = true
-	broken = len(l.pending) > 0 || l.proving
+	broken = len(l.pending) > 0 || l.verifying
 	pending := l.pending
 	l.pending = make(map[uint64]*pendingLeg)
 	l.mu.Unlock()
--- a/exchange/named.go
+++ b/exchange/named.go
@@ -12,9 +12,8 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// The messages of legs at a named backend server. They leave out what the sender
-// knows of its own leg: 29 bytes there and 124 back for five records, where HTTP
-// takes some 600 (computed) for a whole part of 330.
+// Messages of legs at a named backend server. They omit what the sender knows of its own leg,
+// since traffic between zones is billed.
 
 func encodeNamed(id uint64, head uint32, r leg.Request, now time.Time) *exchangepb.LegRequest {
 	return &exchangepb.LegRequest{
@@ -24,7 +23,7 @@
 		DeadlineInNs: int64(r.Deadline.Sub(now)),
 		MostRecords:  uint32(r.MostRecords),
 		Rest:         r.Rest,
-		// told only where the servers say it: it takes eight bytes a part
+		// 0, and not encoded, where servers have no incarnation
 		ServerIncarnation: r.ServerIncarnation,
 		Body:              r.Body,
 	}
@@ -60,7 +59,7 @@
 	return &exchangepb.LegReply{Leg: id, Body: r.Body, Attempt: end}
 }
 
-// decodeAttempt makes the result of the leg that the sender still knows.
+// decodeAttempt builds the result of a leg whose request the sender still has.
 func decodeAttempt(m *exchangepb.LegReply, request leg.Request) leg.Result {
 	end := m.GetAttempt()
 	a := &backend.Attempt{
@@ -100,24 +99,23 @@
 	return f
 }
 
-// heads are the forwarded requests that a link's open legs share, so that each
-// is sent once.
+// heads are the forwarded requests that a link's open legs share, so that each is sent once.
 type heads struct {
-	last uint32
-	open map[*forward.Request]*openHead
+	lastID uint32
+	open   map[*forward.Request]*sharedHead
 }
 
-type openHead struct {
+type sharedHead struct {
 	id   uint32
 	legs int
 }
 
-// use counts one more leg of the request; first says that the head is to be sent.
-func (h *heads) use(f *forward.Request) (id uint32, first bool) {
+// acquire adds a leg to the request's head; first reports that the head must be sent.
+func (h *heads) acquire(f *forward.Request) (id uint32, first bool) {
 	open := h.open[f]
 	if open == nil {
-		h.last++
-		open = &openHead{id: h.last}
+		h.lastID++
+		open = &sharedHead{id: h.lastID}
 		h.open[f] = open
 		first = true
 	}
@@ -125,7 +123,7 @@
 	return open.id, first
 }
 
-// release counts one leg less; last says that the head is needed no more.
+// release removes a leg from the request's head; last reports that the head is unused.
 func (h *heads) release(f *forward.Request) (id uint32, last bool) {
 	open := h.open[f]
 	if open == nil {
--- a/exchange/outbox.go
+++ b/exchange/outbox.go
@@ -7,14 +7,12 @@
 	"github.com/goldcrestspan/goldcrestspan/exchange/exchangepb"
 )
 
-// maxBatch bounds the messages of one frame, so that a frame of large bodies
-// stays under drpc's message limit: 32 requests share one body each, and
-// replies are bounded by the settings' backend_reply_bytes.
+// maxBatch is the most messages in a frame. It keeps frames below drpc's size limit: requests
+// share one body, and replies are bounded by the setting backend_reply_bytes.
 const maxBatch = 32
 
-// outbox gathers messages for one stream. While the writer sends one frame,
-// what arrives meanwhile makes the next: batches grow with load by themselves
-// and a lone message never waits.
+// outbox queues messages for a stream. Messages that arrive while a frame is being sent make up
+// the next frame, so that batches grow with load and a single message is not delayed.
 type outbox struct {
 	mu      sync.Mutex
 	waiting []item
@@ -24,21 +22,21 @@
 
 // item is one message; exactly one field is set.
 type item struct {
-	request *exchangepb.LegRequest
-	reply   *exchangepb.LegReply
-	cancel  *exchangepb.LegCancel
-	head    *exchangepb.Head
-	ended   uint32 // the id of a head
-	silent  string // a service
-	ping    uint64
-	pong    uint64
+	request   *exchangepb.LegRequest
+	reply     *exchangepb.LegReply
+	cancel    *exchangepb.LegCancel
+	head      *exchangepb.Head
+	endedHead uint32 // a head's id
+	silent    string // a service
+	ping      uint64
+	pong      uint64
 }
 
 func newOutbox() *outbox {
 	return &outbox{ready: make(chan struct{}, 1)}
 }
 
-// put adds a message; false when the stream has closed and nothing was taken.
+// put adds a message; false if the stream has closed.
 func (o *outbox) put(it item) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -50,7 +48,7 @@
 	return true
 }
 
-// putAll adds messages that go together, as far as a frame holds them.
+// putAll adds messages that go into the same frame as far as it has room.
 func (o *outbox) putAll(items []item) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,7 +79,7 @@
 	return batch
 }
 
-// close refuses further messages and returns those never taken.
+// close rejects further messages and returns those that were not taken.
 func (o *outbox) close() []item {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +89,7 @@
 	return rest
 }
 
-// drain hands batches to send, in order, until it fails or ctx ends.
+// drain passes batches to send, in order, until it fails or ctx ends.
 func (o *outbox) drain(ctx context.Context, send func(batch []item) error) {
 	for {
 		select {
@@ -121,8 +119,8 @@
 			f.Cancels = append(f.Cancels, it.cancel)
 		case it.head != nil:
 			f.Heads = append(f.Heads, it.head)
-		case it.ended != 0:
-			f.EndedHeads = append(f.EndedHeads, it.ended)
+		case it.endedHead != 0:
+			f.EndedHeads = append(f.EndedHeads, it.endedHead)
 		case it.silent != "":
 			f.Silent = append(f.Silent, it.silent)
 		case it.ping != 0:
--- a/exchange/reply_batcher.go
+++ b/exchange/reply_batcher.go
@@ -6,111 +6,105 @@
 )
 
 const (
-	// replyReserve is how long before its legs are due a home sends what it has: a way
-	// between zones, and the turns of two busy hosts.
+	// replyReserve is how long before its legs are due a home sends its replies; it covers a
+	// network path between zones and two busy hosts.
 	replyReserve = 4 * time.Millisecond
-	// silentCheck is how often a home that owes replies past that time looks whether
-	// the services that they wait for are silent.
-	silentCheck = 100 * time.Millisecond
+	// silentCheckInterval is how often a home with overdue replies checks for silent services.
+	silentCheckInterval = 100 * time.Millisecond
 )
 
-// gather holds the replies to one search's legs at this host until all are there, or
-// until they are due.
-//
-// Load: a search over 180 services, twenty of them at each of nine homes. Harm
-// prevented: each reply goes alone, the root reads 180 frames of one reply, and a
-// third of its processor time goes into system calls, while it can't answer before
-// the last of them has come. Limit: from when the legs are due each reply goes at
-// once, so that none is missing at the root's cut-off since it was held.
-type gather struct {
+// replyBatcher holds the replies to one search's legs at this host until all are there or due,
+// and then sends them together. Without batches, the coordinating host spends much of its CPU
+// on system calls for a search over many services. Replies after the due time go at once.
+type replyBatcher struct {
 	send   func([]item)
 	silent func(service string) bool
 	now    func() time.Time
-	due    time.Time // zero: nothing is held
+	due    time.Time // zero: replies are not held
 
-	mu    sync.Mutex
-	open  map[uint64]string // services, by the sender's leg number
-	held  []item
-	timer *time.Timer
-	ended bool
+	mu     sync.Mutex
+	open   map[uint64]string // services, by the sender's leg number
+	held   []item
+	timer  *time.Timer
+	closed bool
 }
 
-func newGather(send func([]item), silent func(string) bool, now func() time.Time, due time.Time) *gather {
-	g := &gather{send: send, silent: silent, now: now, open: make(map[uint64]string)}
+func newReplyBatcher(send func([]item), silent func(string) bool, now func() time.Time, due time.Time) *replyBatcher {
+	b := &replyBatcher{send: send, silent: silent, now: now, open: make(map[uint64]string)}
 	if due.IsZero() {
-		return g
+		return b
 	}
-	g.due = due.Add(-replyReserve)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.timer = time.AfterFunc(max(g.due.Sub(now()), 0), g.fall)
-	return g
+	b.due = due.Add(-replyReserve)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.timer = time.AfterFunc(max(b.due.Sub(now()), 0), b.onDue)
+	return b
 }
 
-// begin notes a leg that a reply will come for.
-func (g *gather) begin(id uint64, service string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.open[id] = service
+// begin registers a leg that will get a reply.
+func (b *replyBatcher) begin(id uint64, service string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.open[id] = service
 }
 
-// end takes a leg's reply.
-func (g *gather) end(id uint64, reply item) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if _, open := g.open[id]; !open {
+// end adds a leg's reply.
+func (b *replyBatcher) end(id uint64, reply item) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if _, open := b.open[id]; !open {
 		return // cancelled
 	}
-	delete(g.open, id)
-	g.held = append(g.held, reply)
-	if len(g.open) == 0 || !g.now().Before(g.due) {
-		g.flush()
+	delete(b.open, id)
+	b.held = append(b.held, reply)
+	if len(b.open) == 0 || !b.now().Before(b.due) {
+		b.flush()
 	}
 }
 
-// drop forgets a leg whose sender no longer waits.
-func (g *gather) drop(id uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	delete(g.open, id)
-	if len(g.open) == 0 {
-		g.flush()
+// drop removes a leg that its sender has cancelled.
+func (b *replyBatcher) drop(id uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.open, id)
+	if len(b.open) == 0 {
+		b.flush()
 	}
 }
 
-// flush sends what is held; the lock is held.
-func (g *gather) flush() {
-	if len(g.held) > 0 {
-		g.send(g.held)
-		g.held = nil
+// flush sends the held replies; the lock is held.
+func (b *replyBatcher) flush() {
+	if len(b.held) > 0 {
+		b.send(b.held)
+		b.held = nil
 	}
 }
 
-// fall is called when the legs are due, and from then on while some are open.
-func (g *gather) fall() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.flush()
-	if g.ended {
+// onDue runs when the legs are due, and periodically after that while some are open.
+func (b *replyBatcher) onDue() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.flush()
+	if b.closed {
 		return
 	}
-	told := make(map[string]bool)
-	for _, service := range g.open {
-		if !told[service] && g.silent(service) {
-			told[service] = true
-			g.held = append(g.held, item{silent: service})
+	reported := make(map[string]bool)
+	for _, service := range b.open {
+		if !reported[service] && b.silent(service) {
+			reported[service] = true
+			b.held = append(b.held, item{silent: service})
 		}
 	}
-	g.flush()
-	g.timer.Reset(silentCheck)
+	b.flush()
+	b.timer.Reset(silentCheckInterval)
 }
 
-// close ends the timer: the head has been named for the last time.
-func (g *gather) close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.ended = true
-	if g.timer != nil {
-		g.timer.Stop()
+// close stops the timer once the sender has ended the head.
+func (b *replyBatcher) close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.closed = true
+	if b.timer != nil {
+		b.timer.Stop()
 	}
 }
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -13,21 +13,21 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Server takes legs from peers and runs them at this host's homes.
+// Server receives legs from peers and runs them on this host.
 type Server struct {
 	runner leg.Runner
 	now    func() time.Time
-	// Forecast says how a leg would fare at a home of this host; set it before the
-	// first stream. It goes back with each reply to a search's leg.
+	// Forecast predicts how a leg would fare at a home on this host; set it before the first stream.
+	// It is sent with each reply to a search's leg.
 	Forecast func(service, class string) leg.Forecast
 }
 
-// NewServer makes the server's side of the exchange.
+// NewServer returns the receiving side of the exchange.
 func NewServer(runner leg.Runner, now func() time.Time) *Server {
 	return &Server{runner: runner, now: now, Forecast: func(string, string) leg.Forecast { return leg.Forecast{} }}
 }
 
-// Register adds the exchange to the peers' services.
+// Register adds the exchange to the services for peers.
 func (s *Server) Register(mux drpc.Mux) error {
 	return exchangepb.DRPCRegisterExchange(mux, s)
 }
@@ -37,28 +37,28 @@
 	server *Server
 	out    *outbox
 
-	heads map[uint32]*inboundHead // owned by the reader
+	heads map[uint32]*inboundHead // used by the reader only
 
 	mu   sync.Mutex
 	legs map[uint64]*inboundLeg // by the sender's leg number
 }
 
-// inboundHead is what legs have in common.
+// inboundHead is what several legs have in common.
 type inboundHead struct {
 	forward *forward.Request
-	// shared is the leg that those to homes are copies of, and replies gathers what
-	// they are answered; nil for legs to named servers.
-	shared  leg.Request
-	replies *gather
+	// template is copied for each leg to a home, and batcher holds the replies to these legs; unused
+	// for legs to named servers.
+	template leg.Request
+	batcher  *replyBatcher
 }
 
 type inboundLeg struct {
 	cancel  func()
-	replies *gather // nil: the reply goes at once
+	batcher *replyBatcher // nil: the reply is sent at once
 }
 
-// Legs serves one stream until it breaks. The legs of a broken stream are
-// cancelled: their replies could not be delivered.
+// Legs serves one stream until it breaks. It then cancels the stream's legs, since their replies
+// can't be delivered.
 func (s *Server) Legs(stream exchangepb.DRPCExchange_LegsStream) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
@@ -70,11 +70,11 @@
 		if err != nil {
 			return err
 		}
-		in.take(frame)
+		in.handle(frame)
 	}
 }
 
-func (in *inbound) take(frame *exchangepb.Frame) {
+func (in *inbound) handle(frame *exchangepb.Frame) {
 	if frame.GetPing() != 0 {
 		in.out.put(item{pong: frame.GetPing()})
 	}
@@ -92,42 +92,42 @@
 	}
 }
 
-// newHead takes in what legs that come have in common.
+// newHead decodes a head.
 func (in *inbound) newHead(m *exchangepb.Head) *inboundHead {
 	now := in.server.now()
 	head := &inboundHead{forward: decodeHead(m)}
 	if m.GetShare() == nil {
 		return head
 	}
-	head.shared = decodeShare(m.GetShare(), head.forward, now)
-	silent := func(service string) bool { return in.server.Forecast(service, head.shared.Class).Silent }
-	head.replies = newGather(in.out.putAll, silent, in.server.now, head.shared.Due)
+	head.template = decodeShare(m.GetShare(), head.forward, now)
+	silent := func(service string) bool { return in.server.Forecast(service, head.template.Class).Silent }
+	head.batcher = newReplyBatcher(in.out.putAll, silent, in.server.now, head.template.Due)
 	return head
 }
 
 func (in *inbound) endHead(id uint32) {
-	if head := in.heads[id]; head != nil && head.replies != nil {
-		head.replies.close()
+	if head := in.heads[id]; head != nil && head.batcher != nil {
+		head.batcher.close()
 	}
 	delete(in.heads, id)
 }
 
 func (in *inbound) run(m *exchangepb.LegRequest) {
 	id := m.GetLeg()
-	request, replies := in.decode(m)
+	request, batcher := in.decode(m)
 	in.mu.Lock()
-	in.legs[id] = &inboundLeg{replies: replies}
+	in.legs[id] = &inboundLeg{batcher: batcher}
 	in.mu.Unlock()
-	if replies != nil {
-		replies.begin(id, request.Service)
+	if batcher != nil {
+		batcher.begin(id, request.Service)
 	}
 	cancel := in.server.runner.Run(request, func(r leg.Result) {
 		in.mu.Lock()
 		delete(in.legs, id)
 		in.mu.Unlock()
-		if replies != nil {
+		if batcher != nil {
 			forecast := in.server.Forecast(request.Service, request.Class)
-			replies.end(id, item{reply: encodeSharedReply(id, r, forecast)})
+			batcher.end(id, item{reply: encodeSharedReply(id, r, forecast)})
 			return
 		}
 		in.out.put(item{reply: encodeReply(id, r)})
@@ -139,23 +139,23 @@
 	}
 }
 
-// decode makes the leg and says where its reply is gathered; nil: it goes at once.
-func (in *inbound) decode(m *exchangepb.LegRequest) (leg.Request, *gather) {
+// decode returns the leg and the batcher of its reply; nil if the reply is sent at once.
+func (in *inbound) decode(m *exchangepb.LegRequest) (leg.Request, *replyBatcher) {
 	now := in.server.now()
 	if m.GetHead() == 0 {
 		return decodeRequest(m, now), nil
 	}
 	head := in.heads[m.GetHead()]
 	if head == nil {
-		head = &inboundHead{} // the leg is then refused for the lack of it
+		head = &inboundHead{} // the runner refuses a leg without a head
 	}
 	if m.GetServer() != "" {
 		return decodeNamed(m, head.forward, now), nil
 	}
-	request := head.shared
+	request := head.template
 	request.Service, request.Shard = m.GetService(), snapshot.ShardID(m.GetShard())
 	request.Body, request.Rest, request.Optional = m.GetBody(), m.GetRest(), m.GetOptional()
-	return request, head.replies
+	return request, head.batcher
 }
 
 func encodeReply(id uint64, r leg.Result) *exchangepb.LegReply {
@@ -165,7 +165,7 @@
 	return encodeResult(id, r)
 }
 
-// cancel drops a leg whose sender no longer waits: it is owed no reply.
+// cancel drops a leg that its sender has cancelled; it gets no reply.
 func (in *inbound) cancel(id uint64) {
 	in.mu.Lock()
 	l := in.legs[id]
@@ -173,8 +173,8 @@
 	if l == nil {
 		return
 	}
-	if l.replies != nil {
-		l.replies.drop(id)
+	if l.batcher != nil {
+		l.batcher.drop(id)
 	}
 	if l.cancel != nil {
 		l.cancel()
--- a/exchange/shared.go
+++ b/exchange/shared.go
@@ -10,9 +10,8 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// The messages of a search's legs to the homes of their services. What the legs have
-// in common goes once, with the head: some 20 bytes a leg there, and the signature
-// and the greatest records back.
+// Messages of a search's legs to the homes of their services. What the legs have in common is
+// sent once, with the head.
 
 func encodeShare(r leg.Request, now time.Time) *exchangepb.Share {
 	share := &exchangepb.Share{
@@ -31,8 +30,7 @@
 	return share
 }
 
-// decodeShare makes the leg that the legs of one search are copies of, but for
-// their service and shard.
+// decodeShare returns the template of a search's legs, which differ in service and shard.
 func decodeShare(m *exchangepb.Share, head *forward.Request, now time.Time) leg.Request {
 	head.Merge = &forward.Merge{Greatest: int(m.GetGreatest()), Services: int(m.GetServices())}
 	r := leg.Request{
@@ -78,7 +76,7 @@
 	return m
 }
 
-// decodeSharedReply makes the result of the leg that the sender still knows.
+// decodeSharedReply builds the result of a leg whose request the sender still has.
 func decodeSharedReply(m *exchangepb.LegReply, request leg.Request) leg.Result {
 	r := leg.Failed(request, result.Code(m.GetCode()), result.Outcome(m.GetOutcome()), m.GetDetail())
 	r.Snapshot = snapshot.Version(m.GetSnapshot())
