--- a/draining/draining.go
+++ b/draining/draining.go
@@ -1,10 +1,9 @@
-// Package draining owns which backend servers get no new work because they are
-// leaving. It is pure: time and what was heard are passed in.
+// Package draining tracks which backend servers get no new work because they are leaving. Its
+// clock and inputs are passed in.
 //
-// Three sources tell, whichever is first: the server's own drain signal on its
-// replies, its refusals as draining, and the platform's host list. What one
-// entry host learns the others hear as news. A life of a server that left never
-// gets new work again; only another life brings the server back.
+// It learns of leaving servers from drain signals on their replies, from refusals, from the
+// platform's host list and from other entry hosts. An incarnation of a server that has left never
+// gets new work again; only another incarnation brings the server back.
 package draining
 
 import (
@@ -16,112 +15,105 @@
 // Signal is what an entry host learned of a server.
 type Signal uint8
 
-// The signals.
 const (
-	// SignalServing: a reply without a drain signal. It brings nothing back: it
-	// may have been sent before the server began to leave.
+	// SignalServing: a reply without a drain signal. It reverses nothing, since it may have been
+	// sent before the server began to leave.
 	SignalServing Signal = iota
-	// SignalDraining: a reply that says that the server is leaving.
+	// SignalDraining: a reply with a drain signal.
 	SignalDraining
 	// SignalRefused: the server refused a call because it is leaving.
 	SignalRefused
-	// SignalLost: the server died with work on it.
+	// SignalLost: the server crashed with work in progress.
 	SignalLost
 )
 
-// Life is one life of a backend server.
+// Life is one incarnation of a backend server.
 type Life struct {
 	Server      string
 	Incarnation uint64
 }
 
 const (
-	// keepLife is how long a life that left is remembered after it was last
-	// heard of: far longer than a late message can be under way, or a lagging
-	// list name it.
-	keepLife = 24 * time.Hour
-	// maxLives bounds memory: a day's restarts of 21,000 backend servers. Above
-	// it the lives that were heard of longest ago go first.
-	maxLives = 65536
-	// livesPerServer are remembered of one server.
-	livesPerServer = 8
+	// retention is how long a server is remembered after it was last heard of, well above the
+	// delay of a late message or an outdated list.
+	retention = 24 * time.Hour
+	// maxDeparted bounds the remembered instances. Above it, the servers heard of longest ago
+	// are dropped first.
+	maxDeparted = 65536
+	// maxDepartedPerServer bounds the remembered instances of one server.
+	maxDepartedPerServer = 8
 )
 
-// server is what is known of one backend server.
+// server is the state of one backend server.
 type server struct {
-	current  uint64 // newest life heard of; 0: none
-	left     []life // lives that left, oldest first
+	current  uint64      // newest incarnation heard of; 0 if none
+	left     []departure // departed incarnations, oldest first
 	lastSeen time.Time
 }
 
-type life struct {
+type departure struct {
 	incarnation uint64
 	at          time.Time
 }
 
-// Table holds the servers of all services. It is not safe for concurrent use.
+// Table tracks the servers of all services. It is not safe for concurrent use.
 type Table struct {
-	servers map[string]*server
-	lives   int
+	servers  map[string]*server
+	departed int
 }
 
-// NewTable makes an empty table: every server is allowed.
+// NewTable returns an empty table, which allows every server.
 func NewTable() *Table { return &Table{servers: make(map[string]*server)} }
 
-// Observe takes in what this host learned of a life of a server. It reports
-// whether that is news to share with the other entry hosts.
+// Observe applies what this host learned of a server. It reports whether other entry hosts should
+// be told.
 func (t *Table) Observe(now time.Time, name string, incarnation uint64, signal Signal) bool {
 	s := t.server(now, name)
 	if signal == SignalServing {
-		t.meet(s, incarnation)
+		t.setCurrent(s, incarnation)
 		return false
 	}
-	return t.leave(now, s, incarnation)
+	return t.recordLeft(now, s, incarnation)
 }
 
-// Absorb takes in another entry host's news of a life that left. It reports
-// whether that was new.
-func (t *Table) Absorb(now time.Time, news Life) bool {
-	return t.leave(now, t.server(now, news.Server), news.Incarnation)
+// Absorb applies another entry host's report of an instance that has left. It reports whether it
+// was new.
+func (t *Table) Absorb(now time.Time, instance Life) bool {
+	return t.recordLeft(now, t.server(now, instance.Server), instance.Incarnation)
 }
 
-// HostList takes in the backend servers on the platform's host list and
-// returns the lives that it shows leaving for the first time.
-//
-// The failure: the list is empty or cut short for a moment, and every service
-// would lose all its servers. So absence from the list means nothing here: only
-// a row that says "leaving" takes a server out. A lagging list that still says
-// "live" brings nobody back either, as the life it names has left.
+// HostList applies the backend servers on the platform's host list and returns the instances that
+// it shows leaving for the first time. A server that is absent stays in use: the list may be
+// incomplete for a moment, and services must not lose all their servers.
 func (t *Table) HostList(now time.Time, rows []metastore.ListedHost) []Life {
-	var news []Life
-	for _, row := range rows {
-		if row.Kind != metastore.KindBackend {
+	var left []Life
+	for _, listed := range rows {
+		if listed.Kind != metastore.KindBackend {
 			continue
 		}
-		s := t.server(now, row.Name)
-		if row.State != metastore.StateLeaving {
-			t.meet(s, row.Incarnation)
+		s := t.server(now, listed.Name)
+		if listed.State != metastore.StateLeaving {
+			t.setCurrent(s, listed.Incarnation)
 			continue
 		}
-		if t.leave(now, s, row.Incarnation) {
-			news = append(news, Life{Server: row.Name, Incarnation: row.Incarnation})
+		if t.recordLeft(now, s, listed.Incarnation) {
+			left = append(left, Life{Server: listed.Name, Incarnation: listed.Incarnation})
 		}
 	}
-	t.forget(now)
-	return news
+	t.expire(now)
+	return left
 }
 
-// Allowed reports whether the server may be given new work. A server never
-// heard of is allowed: there is no word against it.
+// Allowed reports whether the server may get new work. Unknown servers may.
 func (t *Table) Allowed(name string) bool {
 	s := t.servers[name]
 	return s == nil || !s.hasLeft(s.current)
 }
 
-// AllowedLife reports whether that life of the server may be given new work.
-func (t *Table) AllowedLife(l Life) bool {
-	s := t.servers[l.Server]
-	return s == nil || !s.hasLeft(l.Incarnation)
+// AllowedLife reports whether that instance may get new work.
+func (t *Table) AllowedLife(instance Life) bool {
+	s := t.servers[instance.Server]
+	return s == nil || !s.hasLeft(instance.Incarnation)
 }
 
 // Left returns how many servers get no new work.
@@ -145,56 +137,56 @@
 	return s
 }
 
-// meet makes a life the current one, unless it is known to have left: a late
-// reply of the old life must not hide the new one.
-func (t *Table) meet(s *server, incarnation uint64) {
+// setCurrent makes the incarnation the current one unless it has left: a late reply of an old
+// incarnation must not hide the new one.
+func (t *Table) setCurrent(s *server, incarnation uint64) {
 	if !s.hasLeft(incarnation) {
 		s.current = incarnation
 	}
 }
 
-// leave marks the life as left. The current life changes only if none is
-// known: news of an old life does not take out the new one.
-func (t *Table) leave(now time.Time, s *server, incarnation uint64) bool {
+// recordLeft marks the incarnation as left. It becomes current only if none is known, so that late
+// news of an old incarnation does not take out the new one.
+func (t *Table) recordLeft(now time.Time, s *server, incarnation uint64) bool {
 	if s.hasLeft(incarnation) {
 		return false
 	}
 	if s.current == 0 {
 		s.current = incarnation
 	}
-	s.left = append(s.left, life{incarnation: incarnation, at: now})
-	t.lives++
-	if len(s.left) > livesPerServer {
+	s.left = append(s.left, departure{incarnation: incarnation, at: now})
+	t.departed++
+	if len(s.left) > maxDepartedPerServer {
 		s.left = append(s.left[:0], s.left[1:]...)
-		t.lives--
+		t.departed--
 	}
 	return true
 }
 
 func (s *server) hasLeft(incarnation uint64) bool {
-	for _, l := range s.left {
-		if l.incarnation == incarnation {
+	for _, d := range s.left {
+		if d.incarnation == incarnation {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops servers that nobody has spoken of for keepLife, and sooner when
-// the table is full.
-func (t *Table) forget(now time.Time) {
-	keep := keepLife
-	for t.lives > maxLives && keep > time.Second {
-		keep /= 2
-		t.forgetOlder(now, keep)
+// expire drops servers that were not heard of for the retention time, and sooner when the table is
+// full.
+func (t *Table) expire(now time.Time) {
+	age := retention
+	for t.departed > maxDeparted && age > time.Second {
+		age /= 2
+		t.expireOlder(now, age)
 	}
-	t.forgetOlder(now, keepLife)
+	t.expireOlder(now, retention)
 }
 
-func (t *Table) forgetOlder(now time.Time, keep time.Duration) {
+func (t *Table) expireOlder(now time.Time, maxAge time.Duration) {
 	for name, s := range t.servers {
-		if now.Sub(s.lastSeen) > keep {
-			t.lives -= len(s.left)
+		if now.Sub(s.lastSeen) > maxAge {
+			t.departed -= len(s.left)
 			delete(t.servers, name)
 		}
 	}
