--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,6 +1,5 @@
-// Package forward holds a request that is passed on to a backend server as its
-// caller sent it, and the server's reply to it. Nothing in between reads the
-// body or rewrites the target.
+// Package forward holds requests that are forwarded to backend servers unchanged, and the servers'
+// replies.
 package forward
 
 import (
@@ -10,46 +9,43 @@
 	"strings"
 )
 
-// Request is a caller's request as it goes to a backend server.
+// Request is a caller's request as it is sent to a backend server.
 type Request struct {
-	// Attempt is the caller's id of this sending. Backend servers echo it.
+	// Attempt is the caller's id of this attempt. Backend servers echo it.
 	Attempt string
 	Method  string
-	// Target is the path and query, byte for byte as the caller sent them.
+	// Target is the path and query, exactly as the caller sent them.
 	Target string
 	Host   string
-	// Header holds the end-to-end headers; it is shared by all attempts and
-	// must not be changed.
+	// Header holds the end-to-end headers. All attempts share it; it must not be changed.
 	Header http.Header
-	// Merge is set where the answers of several services are merged.
+	// Merge is set if the answers of several services are merged.
 	Merge *Merge
-	// Regions are those that the operator binds the request to: no server elsewhere may
-	// run it, and no host elsewhere may see it but the one that its caller chose; empty:
-	// it is not bound.
+	// Regions restricts the backend servers that may run the request, and the hosts that may see it
+	// apart from the one that the caller chose; empty for no restriction.
 	Regions []string
 }
 
-// Merge says how the answers of several services become one.
+// Merge describes how the answers of several services are merged.
 type Merge struct {
-	Greatest int // records of the merged answer
+	Greatest int // records in the merged answer
 	Services int
 }
 
-// restRate bounds the answers, of all, of which a part has more records than
-// MostPerPart: fetching its rest takes a way to the host that cut it, and back.
-const restRate = 0.015
+// maxRefetchRate bounds the fraction of answers in which some part has more than MaxPerPart of
+// the greatest records and must be fetched in full.
+const maxRefetchRate = 0.015
 
-// MostPerPart is how many records of one part the merged answer will hardly ever
-// need more of. Each of the greatest records is in any of the parts alike, so that a
-// part's number of them follows Poisson's law; over 180 parts some of them is far from
-// its mean in most answers.
+// MaxPerPart returns the number of records per part that almost always suffices for the merged
+// answer. The greatest records are spread evenly over the parts, so that their number in one part
+// follows a Poisson distribution.
 func (m Merge) MostPerPart() int {
 	services := float64(max(m.Services, 1))
 	mean := float64(m.Greatest) / services
-	exactly := math.Exp(-mean) // the chance of so many
-	more := 1 - exactly        // and of more
+	exactly := math.Exp(-mean) // probability of exactly most records in a part
+	more := 1 - exactly        // and of more than most
 	most := 0
-	for most < m.Greatest && services*more > restRate {
+	for most < m.Greatest && services*more > maxRefetchRate {
 		most++
 		exactly *= mean / float64(most)
 		more -= exactly
@@ -57,27 +53,27 @@
 	return most
 }
 
-// Reply is a backend server's whole reply.
+// Reply is a backend server's reply.
 type Reply struct {
 	Status int
-	// Header holds the end-to-end headers to pass back.
+	// Header holds the end-to-end headers to return.
 	Header http.Header
 	Body   []byte
-	// Signature is the server's mark on the reply; empty if it gave none.
+	// Signature is the server's signature of the reply; empty if it sent none.
 	Signature string
-	// Rest is set where Body holds only the greatest records of a part; it
-	// fetches all of them.
+	// FetchFull is set if Body was truncated to the greatest records of a part; it fetches all of
+	// them.
 	Rest func(ctx context.Context) ([]byte, error)
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd copies the headers without those that concern one connection only,
-// including those that the Connection header names.
+// EndToEnd returns a copy without hop-by-hop headers, including those that the Connection header
+// names.
 func EndToEnd(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, value := range header.Values("Connection") {
@@ -85,7 +81,7 @@
 			kept.Del(name)
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		kept.Del(name)
 	}
 	return kept
