--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer owns the transport between entry hosts: drpc over TCP, mutual
-// TLS unless the settings say plain text. Each slice with control messages
-// registers its service on the Server and calls through a Pool.
+// Package peer is the transport between entry hosts: drpc over TCP, with mutual TLS unless the
+// settings select plain text. Packages with messages between hosts register their service on the
+// Server and make calls through a Pool.
 package peer
 
 import (
@@ -21,50 +21,50 @@
 const (
 	// dialTimeout bounds connecting and the TLS handshake with a peer.
 	dialTimeout = 2 * time.Second
-	// idleExpiry closes pooled connections that no call used for this long, so
-	// that 3,400 hosts do not keep a full mesh of control connections.
-	idleExpiry = 30 * time.Second
-	// idlePerPeer bounds the pooled idle connections to one peer.
-	idlePerPeer = 2
-	// idleTotal bounds the pooled idle connections to all peers.
-	idleTotal = 64
+	// idleTimeout closes unused pooled connections, so that large fleets do not keep a full mesh of
+	// connections.
+	idleTimeout = 30 * time.Second
+	// maxIdlePerPeer bounds the pooled idle connections to one peer.
+	maxIdlePerPeer = 2
+	// maxIdle bounds the pooled idle connections to all peers.
+	maxIdle = 64
 )
 
-// Pool dials peers and keeps idle connections for later calls. A drpc
-// connection carries one call at a time; the pool dials more when needed.
+// Pool dials peers and pools idle connections. A drpc connection carries one call at a time; the
+// pool dials more when needed.
 type Pool struct {
 	tls    *tls.Config
 	conns  *drpcpool.Pool[string, *drpcconn.Conn]
 	closed atomic.Bool
 }
 
-// errClosed: the pool was closed, nothing was sent.
+// errClosed is returned for calls after Close; nothing was sent.
 var errClosed = errors.New("peer: the pool is closed")
 
-// NewPool makes a pool; a nil tls means plain text.
+// NewPool returns a pool; a nil config selects plain text.
 func NewPool(config *tls.Config) *Pool {
 	return &Pool{
 		tls: config,
 		conns: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{
-			Expiration:  idleExpiry,
-			Capacity:    idleTotal,
-			KeyCapacity: idlePerPeer,
+			Expiration:  idleTimeout,
+			Capacity:    maxIdle,
+			KeyCapacity: maxIdlePerPeer,
 		}),
 	}
 }
 
-// Conn returns a connection to the peer's address, IP and port, for use with a
-// generated client. It dials lazily, on the first call, and can be shared.
+// Conn returns a connection to the peer's address, IP and port, for use with a generated client. It
+// dials on the first call and can be shared.
 func (p *Pool) Conn(ctx context.Context, address string) drpc.Conn {
 	return p.conns.Get(ctx, address, p.dial)
 }
 
-// Dial opens a connection of its own, for a long-lived stream.
+// Dial opens a dedicated connection, for a long-lived stream.
 func (p *Pool) Dial(ctx context.Context, address string) (drpc.Conn, error) {
 	return p.dial(ctx, address)
 }
 
-// Close closes the idle connections and refuses to dial any more.
+// Close closes the idle connections; later dials fail.
 func (p *Pool) Close() error {
 	p.closed.Store(true)
 	return p.conns.Close()
@@ -76,31 +76,26 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial peer %s", address)
 	}
 	if p.tls == nil {
-		return newConn(raw), nil
+		return newConn(conn), nil
 	}
 	config := p.tls.Clone()
-	config.ServerName, _, _ = net.SplitHostPort(address) // dialled, so it has both
-	secured := tls.Client(raw, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
-		_ = raw.Close()
+	config.ServerName, _, _ = net.SplitHostPort(address) // valid, since it was dialled
+	tlsConn := tls.Client(conn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		_ = conn.Close()
 		return nil, errors.Wrapf(err, "TLS with peer %s", address)
 	}
-	return newConn(secured), nil
+	return newConn(tlsConn), nil
 }
 
-// newConn makes a connection that is closed when a call on it is cancelled or
-// times out.
-//
-// Failure: something between the hosts loses track of a connection; it shows as
-// a call without a reply while writes still succeed. With drpc's soft cancel the
-// connection would go back into the pool, every later call would take it again,
-// and a live peer would be dead to this host. The guard holds because a
-// connection is pooled again only after a call on it has ended by itself.
+// newConn returns a connection that is closed when a call on it is cancelled or times out. drpc's
+// soft cancel would return a connection on which nothing comes back to the pool, and a live peer
+// would look dead.
 func newConn(transport net.Conn) *drpcconn.Conn { return drpcconn.New(transport) }
 
 // Server serves the registered services to peers.
@@ -108,10 +103,10 @@
 	mux *drpcmux.Mux
 }
 
-// NewServer makes a server without services.
+// NewServer returns a server without services.
 func NewServer() *Server { return &Server{mux: drpcmux.New()} }
 
-// Mux is where slices register their generated services, before Serve.
+// Mux is where packages register their generated services, before Serve.
 func (s *Server) Mux() *drpcmux.Mux { return s.mux }
 
 // Serve answers calls on the listener until ctx ends.
