--- a/exchange/client.go
+++ b/exchange/client.go
@@ -24,10 +24,10 @@
 	self *exchangepb.Frame // hello frame
 	now  func() time.Time
 	// Liveness of the links; set it before the first leg.
-	Silence Silence
+	Liveness LivenessTimeouts
 	// OnUnresponsive is called with services of which no server answers a peer that owes
 	// replies; set it before the first leg. It must not block.
-	OnSilent func(service string)
+	OnUnresponsive func(service string)
 
 	mu    sync.Mutex
 	peers map[string]*peerRunner // by peer address
@@ -41,8 +41,8 @@
 		self: hello(self, incarnation),
 		now:  now,
 
-		Silence:  defaultLiveness,
-		OnSilent: func(string) {},
+		Liveness:       defaultLiveness,
+		OnUnresponsive: func(string) {},
 
 		peers: make(map[string]*peerRunner),
 	}
@@ -64,7 +64,7 @@
 // whose link broke with open legs stays suspected until it answers on a new link, which is
 // opened in the background. Otherwise each new dial to a host that lost power would hold up
 // legs until membership notices.
-func (c *Client) Doubts(address string) bool {
+func (c *Client) Suspects(address string) bool {
 	c.mu.Lock()
 	r := c.peers[address]
 	c.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 	now := c.now()
 	if r.dialing {
-		return r.suspect || now.Sub(r.dialStart) >= c.Silence.Doubt
+		return r.suspect || now.Sub(r.dialStart) >= c.Liveness.SuspectAfter
 	}
 	if r.suspect && now.Sub(r.failedAt) >= redialInterval {
 		r.startDial(now)
@@ -195,7 +195,7 @@
 }
 
 func (r *peerRunner) dial() (*link, context.Context, error) {
-	dialCtx, cancelDial := context.WithTimeout(r.client.ctx, r.client.Silence.Dead)
+	dialCtx, cancelDial := context.WithTimeout(r.client.ctx, r.client.Liveness.DropAfter)
 	defer cancelDial()
 	conn, err := r.client.pool.Dial(dialCtx, r.address)
 	if err != nil {
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -14,18 +14,18 @@
 )
 
 // LivenessTimeouts are the times without a frame on a link with open legs.
-type Silence struct {
+type LivenessTimeouts struct {
 	// PingAfter is when the peer is pinged.
-	Ping time.Duration
+	PingAfter time.Duration
 	// SuspectAfter is when Client.Suspects reports the peer.
-	Doubt time.Duration
+	SuspectAfter time.Duration
 	// DropAfter is when the link is dropped.
-	Dead time.Duration
+	DropAfter time.Duration
 }
 
 // defaultLiveness drops a link after four lost pings, within the deadline of most queries, so
 // that their legs can move to the second home.
-var defaultLiveness = Silence{Ping: 200 * time.Millisecond, Doubt: 500 * time.Millisecond, Dead: time.Second}
+var defaultLiveness = LivenessTimeouts{PingAfter: 200 * time.Millisecond, SuspectAfter: 500 * time.Millisecond, DropAfter: time.Second}
 
 // idleTimeout is how long a stream stays open without legs.
 const idleTimeout = time.Minute
@@ -37,7 +37,7 @@
 	cancel   context.CancelFunc
 	out      *outbox
 	now      func() time.Time
-	liveness Silence
+	liveness LivenessTimeouts
 	// onUnresponsive is called with services of which no server answers the peer.
 	onUnresponsive func(service string)
 
@@ -65,8 +65,8 @@
 		cancel:         cancel,
 		out:            newOutbox(),
 		now:            now,
-		liveness:       c.Silence,
-		onUnresponsive: c.OnSilent,
+		liveness:       c.Liveness,
+		onUnresponsive: c.OnUnresponsive,
 		pending:        make(map[uint64]*pendingLeg),
 		heads:          heads{open: make(map[*forward.Request]*sharedHead)},
 		lastFrame:      now(),
@@ -212,7 +212,7 @@
 // a lost connection, while a live peer answers pings at once, however slow its backend servers
 // are.
 func (l *link) watch(ctx context.Context) {
-	ticker := time.NewTicker(l.liveness.Ping)
+	ticker := time.NewTicker(l.liveness.PingAfter)
 	defer ticker.Stop()
 	sequence := uint64(0)
 	for {
@@ -222,11 +222,11 @@
 		case <-ticker.C:
 		}
 		silentFor, unusedFor, open := l.idleTimes()
-		if open && silentFor >= l.liveness.Dead || !open && unusedFor >= idleTimeout {
+		if open && silentFor >= l.liveness.DropAfter || !open && unusedFor >= idleTimeout {
 			l.cancel()
 			return
 		}
-		if open && silentFor >= l.liveness.Ping {
+		if open && silentFor >= l.liveness.PingAfter {
 			sequence++
 			l.out.put(item{ping: sequence})
 		}
@@ -240,7 +240,7 @@
 	verifying := l.verifying
 	l.mu.Unlock()
 	silentFor, _, open := l.idleTimes()
-	return verifying || open && silentFor >= l.liveness.Doubt
+	return verifying || open && silentFor >= l.liveness.SuspectAfter
 }
 
 // verifyPing is the sequence number of the ping that verify sends.
--- a/exchange/shared.go
+++ b/exchange/shared.go
@@ -25,14 +25,14 @@
 		share.DueInNs = int64(r.Due.Sub(now))
 	}
 	if merge := r.Forward.Merge; merge != nil {
-		share.Greatest, share.Services = uint32(merge.Greatest), uint32(merge.Services)
+		share.Greatest, share.Services = uint32(merge.TopK), uint32(merge.Services)
 	}
 	return share
 }
 
 // decodeShare returns the template of a search's legs, which differ in service and shard.
 func decodeShare(m *exchangepb.Share, head *forward.Request, now time.Time) leg.Request {
-	head.Merge = &forward.Merge{Greatest: int(m.GetGreatest()), Services: int(m.GetServices())}
+	head.Merge = &forward.Merge{TopK: int(m.GetGreatest()), Services: int(m.GetServices())}
 	r := leg.Request{
 		Snapshot:   snapshot.Version(m.GetSnapshot()),
 		Class:      m.GetClass(),
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -28,7 +28,7 @@
 
 // Merge describes how the answers of several services are merged.
 type Merge struct {
-	Greatest int // records in the merged answer
+	TopK     int // records in the merged answer
 	Services int
 }
 
@@ -39,13 +39,13 @@
 // MaxPerPart returns the number of records per part that almost always suffices for the merged
 // answer. The greatest records are spread evenly over the parts, so that their number in one part
 // follows a Poisson distribution.
-func (m Merge) MostPerPart() int {
+func (m Merge) MaxPerPart() int {
 	services := float64(max(m.Services, 1))
-	mean := float64(m.Greatest) / services
+	mean := float64(m.TopK) / services
 	exactly := math.Exp(-mean) // probability of exactly most records in a part
 	more := 1 - exactly        // and of more than most
 	most := 0
-	for most < m.Greatest && services*more > maxRefetchRate {
+	for most < m.TopK && services*more > maxRefetchRate {
 		most++
 		exactly *= mean / float64(most)
 		more -= exactly
@@ -63,7 +63,7 @@
 	Signature string
 	// FetchFull is set if Body was truncated to the greatest records of a part; it fetches all of
 	// them.
-	Rest func(ctx context.Context) ([]byte, error)
+	FetchFull func(ctx context.Context) ([]byte, error)
 }
 
 // hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
--- a/gateway/components.go
+++ b/gateway/components.go
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	links := exchange.NewClient(g.runCtx, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
-	links.Silence = peerLinkLiveness
+	links.Liveness = peerLinkLiveness
 	return &crossZoneRunner{direct: g.options.Backends, zone: g.options.Zone, view: members.View, load: g.load, links: links, log: g.log, partsByPath: partsByPath}, nil
 }
 
@@ -149,8 +149,8 @@
 // newSharedHomes creates the homes of large searches and the links to them.
 func (g *Gateway) newSharedHomes(local *homeserver.Server, members *member.Agent, pool *peer.Pool, forecasts *remoteForecasts) *homes {
 	links := exchange.NewClient(g.runCtx, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
-	links.Silence = peerLinkLiveness
-	links.OnSilent = forecasts.recordSilent
+	links.Liveness = peerLinkLiveness
+	links.OnUnresponsive = forecasts.recordSilent
 	return &homes{
 		self: ident.HostID(g.options.Name), zone: g.options.Zone, local: local, view: members.View, zones: g.serversByZone, split: g.sharedServices,
 		links: links, forecasts: forecasts, log: g.log,
--- a/gateway/cross_zone.go
+++ b/gateway/cross_zone.go
@@ -17,10 +17,10 @@
 
 // peerLinkLiveness applies to links that have a fallback. Parts can go to their server
 // directly, so a peer is suspected after two lost pings.
-var peerLinkLiveness = exchange.Silence{
-	Ping:  40 * time.Millisecond,
-	Doubt: 100 * time.Millisecond,
-	Dead:  400 * time.Millisecond,
+var peerLinkLiveness = exchange.LivenessTimeouts{
+	PingAfter:    40 * time.Millisecond,
+	SuspectAfter: 100 * time.Millisecond,
+	DropAfter:    400 * time.Millisecond,
 }
 
 // maxProxiedBodyBytes bounds the bodies of requests that go through a peer: each part
@@ -93,7 +93,7 @@
 		return "", false
 	}
 	address, ok = r.currentProxies()[server.Zone]
-	return address, ok && !r.links.Doubts(address)
+	return address, ok && !r.links.Suspects(address)
 }
 
 func (r *crossZoneRunner) currentProxies() map[string]string {
@@ -117,14 +117,14 @@
 	request := leg.Request{
 		Request: call.Request, Service: call.Service, Shard: call.Shard, Snapshot: call.Snapshot,
 		Deadline: call.Deadline, Idempotent: true, Body: call.Body, Forward: call.Forward,
-		Server: server.Name, ServerIncarnation: server.Incarnation, MostRecords: call.Forward.Merge.MostPerPart(),
+		Server: server.Name, ServerIncarnation: server.Incarnation, MostRecords: call.Forward.Merge.MaxPerPart(),
 	}
 	res := askPeer(ctx, r.links, address, request)
 	switch {
 	case res.Attempt != nil:
 		attempt = *res.Attempt
 		if res.Cut {
-			attempt.Reply.Forwarded.Rest = r.fetchFull(address, request)
+			attempt.Reply.Forwarded.FetchFull = r.fetchFull(address, request)
 		}
 		return attempt, true
 	case !time.Now().Before(call.Deadline):
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -83,12 +83,12 @@
 func (s *homeLegRunner) truncate(request leg.Request, res leg.Result) leg.Result {
 	limit := 0
 	if request.Forward.Merge != nil {
-		limit = request.Forward.Merge.MostPerPart()
+		limit = request.Forward.Merge.MaxPerPart()
 	}
 	if !res.Usable() || res.Reply == nil || limit == 0 {
 		return res
 	}
-	if len(res.Body) <= limit*recordSize && res.Reply.Rest == nil {
+	if len(res.Body) <= limit*recordSize && res.Reply.FetchFull == nil {
 		return res
 	}
 	s.cache.Add(homePartKey(request), res.Reply)
@@ -108,8 +108,8 @@
 	go func() {
 		defer cancel()
 		body, err := reply.Body, error(nil)
-		if reply.Rest != nil {
-			body, err = reply.Rest(ctx)
+		if reply.FetchFull != nil {
+			body, err = reply.FetchFull(ctx)
 		}
 		if err != nil {
 			done(leg.Failed(request, result.HomeUnavailable, result.OutcomeUnsent, err.Error()))
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -56,7 +56,7 @@
 		return h.self, ""
 	}
 	first, _ = p.homes.Of(service)
-	if first == "" || first == h.self || h.links.Doubts(p.address[first]) {
+	if first == "" || first == h.self || h.links.Suspects(p.address[first]) {
 		return h.self, ""
 	}
 	return first, h.self
@@ -198,7 +198,7 @@
 			r.forecasts.record(request.Service, request.Class, *res.Forecast)
 		}
 		if res.Cut && res.Reply != nil {
-			res.Reply.Rest = fullPartFetcher(r.links, r.address, request)
+			res.Reply.FetchFull = fullPartFetcher(r.links, r.address, request)
 		}
 		done(res)
 	})
--- a/gateway/merge.go
+++ b/gateway/merge.go
@@ -68,7 +68,7 @@
 
 // mayHoldMore reports whether omitted records of a truncated part may belong in the answer.
 func mayHoldMore(part *scatter.Part, records []byte, greatest int) bool {
-	if part.Reply == nil || part.Reply.Rest == nil {
+	if part.Reply == nil || part.Reply.FetchFull == nil {
 		return false
 	}
 	if len(records) < greatest*recordSize || len(part.Body) < recordSize {
@@ -109,12 +109,12 @@
 // fetchFullPart returns the part with all its records. If they can't be fetched, the Reply
 // is nil, and the part counts as missing.
 func fetchFullPart(ctx context.Context, part scatter.Part) scatter.Part {
-	body, err := part.Reply.Rest(ctx)
+	body, err := part.Reply.FetchFull(ctx)
 	if err != nil {
 		return scatter.Part{}
 	}
 	reply := *part.Reply
-	reply.Rest = nil
+	reply.FetchFull = nil
 	part.Body, part.Reply = body, &reply
 	return part
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -144,7 +144,7 @@
 		plan.Snapshot = c.shards[r]
 		plan.LeastCoverage = r.LeastShare
 		plan.Prefer = bundle.PreferLatency
-		q.Forward.Merge = &forward.Merge{Greatest: r.Greatest, Services: len(r.Shards)}
+		q.Forward.Merge = &forward.Merge{TopK: r.Greatest, Services: len(r.Shards)}
 	}
 	q.Forward.Regions = r.Regions
 	return scatter.Work{
