--- a/draining/draining.go
+++ b/draining/draining.go
@@ -27,8 +27,8 @@
 	SignalLost
 )
 
-// Life is one incarnation of a backend server.
-type Life struct {
+// Instance is one incarnation of a backend server.
+type Instance struct {
 	Server      string
 	Incarnation uint64
 }
@@ -76,17 +76,17 @@
 	return t.recordLeft(now, s, incarnation)
 }
 
-// Absorb applies another entry host's report of an instance that has left. It reports whether it
+// MarkLeft applies another entry host's report of an instance that has left. It reports whether it
 // was new.
-func (t *Table) Absorb(now time.Time, instance Life) bool {
+func (t *Table) MarkLeft(now time.Time, instance Instance) bool {
 	return t.recordLeft(now, t.server(now, instance.Server), instance.Incarnation)
 }
 
-// HostList applies the backend servers on the platform's host list and returns the instances that
+// ApplyHostList applies the backend servers on the platform's host list and returns the instances that
 // it shows leaving for the first time. A server that is absent stays in use: the list may be
 // incomplete for a moment, and services must not lose all their servers.
-func (t *Table) HostList(now time.Time, rows []metastore.ListedHost) []Life {
-	var left []Life
+func (t *Table) ApplyHostList(now time.Time, rows []metastore.ListedHost) []Instance {
+	var left []Instance
 	for _, listed := range rows {
 		if listed.Kind != metastore.KindBackend {
 			continue
@@ -97,7 +97,7 @@
 			continue
 		}
 		if t.recordLeft(now, s, listed.Incarnation) {
-			left = append(left, Life{Server: listed.Name, Incarnation: listed.Incarnation})
+			left = append(left, Instance{Server: listed.Name, Incarnation: listed.Incarnation})
 		}
 	}
 	t.expire(now)
@@ -110,8 +110,8 @@
 	return s == nil || !s.hasLeft(s.current)
 }
 
-// AllowedLife reports whether that instance may get new work.
-func (t *Table) AllowedLife(instance Life) bool {
+// AllowedInstance reports whether that instance may get new work.
+func (t *Table) AllowedInstance(instance Instance) bool {
 	s := t.servers[instance.Server]
 	return s == nil || !s.hasLeft(instance.Incarnation)
 }
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -100,8 +100,8 @@
 		return head
 	}
 	head.template = decodeShare(m.GetShare(), head.forward, now)
-	silent := func(service string) bool { return in.server.Forecast(service, head.template.Class).Silent }
-	head.batcher = newReplyBatcher(in.out.putAll, silent, in.server.now, head.template.Due)
+	silent := func(service string) bool { return in.server.Forecast(service, head.template.Class).Unresponsive }
+	head.batcher = newReplyBatcher(in.out.putAll, silent, in.server.now, head.template.SoftDeadline)
 	return head
 }
 
@@ -154,7 +154,7 @@
 	}
 	request := head.template
 	request.Service, request.Shard = m.GetService(), snapshot.ShardID(m.GetShard())
-	request.Body, request.Rest, request.Optional = m.GetBody(), m.GetRest(), m.GetOptional()
+	request.Body, request.FullAnswer, request.Optional = m.GetBody(), m.GetRest(), m.GetOptional()
 	return request, head.batcher
 }
 
--- a/front/front.go
+++ b/front/front.go
@@ -156,7 +156,7 @@
 // before must not be reported as not run.
 func refuseUnread(x *exchange, e *result.Error) *result.Error {
 	if x.r.Header.Get(HeaderResent) == "true" {
-		e.Code = booking.AtDoor(e.Code, true)
+		e.Code = booking.RefusalCode(e.Code, true)
 	}
 	return e
 }
@@ -210,7 +210,7 @@
 		return e
 	}
 	if e := f.service.Ready(); e != nil {
-		e.Code = booking.AtDoor(e.Code, m.Resent)
+		e.Code = booking.RefusalCode(e.Code, m.Resent)
 		return e
 	}
 	b := Booking{Query: q, Ticket: m.Ticket, IdempotencyKey: m.IdempotencyKey, Resent: m.Resent}
@@ -227,7 +227,7 @@
 	callerIP, _, _ := net.SplitHostPort(x.r.RemoteAddr) // set by net/http
 	params := x.r.URL.Query()
 	advice := f.service.Hosts(x.caller.Name+"@"+callerIP, params.Get("region"), params.Get("zone"))
-	x.w.Header().Set("Cache-Control", "private, max-age="+strconv.FormatInt(advice.KeepMS/millisecondsPerSecond, 10))
+	x.w.Header().Set("Cache-Control", "private, max-age="+strconv.FormatInt(advice.TTLMillis/millisecondsPerSecond, 10))
 	f.write(x, http.StatusOK, advice)
 	return nil
 }
--- a/gateway/advise.go
+++ b/gateway/advise.go
@@ -5,14 +5,14 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// Asker describes a caller that asks which hosts to use.
-type Asker struct {
+// AdviceRequest describes a caller that asks which hosts to use.
+type AdviceRequest struct {
 	Host   string // host name in its requests
 	Region string // empty if unknown
 }
 
 // Advise returns the caller-facing addresses of the hosts that the caller should use.
-func (g *Gateway) Advise(request Asker) []string {
+func (g *Gateway) Advise(request AdviceRequest) []string {
 	var addresses []string
 	for _, host := range g.hostsFor(request) {
 		addresses = append(addresses, host.CallerAddress)
@@ -20,16 +20,16 @@
 	return addresses
 }
 
-func (g *Gateway) hostsFor(request Asker) []member.Host {
+func (g *Gateway) hostsFor(request AdviceRequest) []member.Host {
 	view, servers := g.members.View(), g.serversByZone()
 	for _, regions := range entry.RegionOrder(request.Region, g.regionsFor(request.Host), g.hasServersIn) {
-		if regional := entry.InRegion(view, regions...); len(regional.Hosts) > 0 {
-			if chosen := entry.Carriers(regional, servers); len(chosen) > 0 {
+		if regional := entry.FilterRegions(view, regions...); len(regional.Hosts) > 0 {
+			if chosen := entry.AdvisedHosts(regional, servers); len(chosen) > 0 {
 				return chosen
 			}
 		}
 	}
-	return entry.Carriers(view, servers)
+	return entry.AdvisedHosts(view, servers)
 }
 
 // regionsFor returns the regions that requests with the host name are restricted to; empty
--- a/gateway/components.go
+++ b/gateway/components.go
@@ -103,7 +103,7 @@
 			Self: member.Host{
 				ID:            ident.HostID(g.options.Name),
 				Incarnation:   ident.NewIncarnation(g.options.Now()),
-				PeerAddress:   g.options.Peers.Addr().String(),
+				PeerAddress:   g.options.PeerListener.Addr().String(),
 				CallerAddress: g.options.CallerAddress,
 				Region:        g.options.Region,
 				Zone:          g.options.Zone,
@@ -111,11 +111,11 @@
 			},
 			Seeds: g.options.Seeds,
 		},
-		Pool:         pool,
-		Now:          g.options.Now,
-		Logger:       g.log,
-		Registerer:   registry,
-		OnConfigNews: g.handleConfigNews,
+		Pool:           pool,
+		Now:            g.options.Now,
+		Logger:         g.log,
+		Registerer:     registry,
+		OnConfigUpdate: g.handleConfigNews,
 	})
 }
 
@@ -132,7 +132,7 @@
 func (g *Gateway) newHomes(runner *crossZoneRunner, counters *observe.Metrics) *homeserver.Server {
 	homes := homeserver.New(loggingRunner{g.withEligibility(runner, g.checkOwn), g.log, g.options.Now, &g.attempts}, counters, noWatcher{}, g.options.Now, g.homesConfig)
 	homes.SetObserver(g.logServer)
-	homes.SetTune(g.configureHome)
+	homes.SetConfigOverride(g.configureHome)
 	return homes
 }
 
@@ -141,7 +141,7 @@
 	c := g.inForce.Load()
 	for i := range classes {
 		if c != nil {
-			classes[i].HedgeUnknown = time.Duration(unknownClassHedgeFraction * float64(c.targets[classes[i].Name]))
+			classes[i].DefaultHedgeDelay = time.Duration(unknownClassHedgeFraction * float64(c.targets[classes[i].Name]))
 		}
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 // of returns the coordinator for a request.
-func (c coordinators) of(work *scatter.Work) *scatter.Coordinator {
+func (c coordinators) of(work *scatter.QuerySpec) *scatter.Coordinator {
 	if work.Forward.Merge == nil || len(work.Body) > maxProxiedBodyBytes || !c.homes.allInRegions(work.Forward.Regions) {
 		return c.plain
 	}
@@ -201,8 +201,8 @@
 
 func (g *Gateway) newFollower(metrics *discover.Metrics, prefix string, settle func() time.Duration, apply func([]metastore.Object, metastore.Revision)) *discover.Follower {
 	return discover.NewFollower(discover.Config{
-		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, Apply: apply,
-		Relay: g.relay, Watches: g.isWatcher, Watchers: g.watcherCount, Joined: g.members.Joined, Settle: settle, StaleStart: prefix != g.options.ConfigKey,
+		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, OnChange: apply,
+		Relay: g.relay, IsWatcher: g.isWatcher, WatcherCount: g.watcherCount, Joined: g.members.Joined, BatchInterval: settle, AllowStaleFirstList: prefix != g.options.ConfigKey,
 		Order: g.options.Decode.Order, Metrics: metrics,
 	})
 }
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -87,12 +87,12 @@
 	}
 	for i := range config.Routes {
 		r := &config.Routes[i]
-		c.targets[className(r)] = r.Target
-		if r.AsksAll() {
+		c.targets[className(r)] = r.TargetLatency
+		if r.IsFanout() {
 			c.shards[r] = newSnapshot(config.Version, r.Shards)
 			c.addSplit(r)
 		}
-		for _, share := range r.Shares {
+		for _, share := range r.WeightedServices {
 			c.singleService[share.Service] = newSnapshot(config.Version, []string{share.Service})
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	for _, service := range config.Services {
 		docs.Services = append(docs.Services, bundle.Service{
-			Name: service.Name, SlotsPerServer: defaultSlotsPerServer, ConnectionsPerServer: service.Connections,
+			Name: service.Name, SlotsPerServer: defaultSlotsPerServer, ConnectionsPerServer: service.MaxConnections,
 		})
 	}
 	docs.Policy.HedgeQuantile = hedgeQuantile
@@ -141,7 +141,7 @@
 // className groups routes by priority and target, so that hundreds of routes share a few
 // classes. The timeout is left out: a change of it must not reset the latency statistics.
 func className(r *route.Route) string {
-	return fmt.Sprintf("p%d-%v", r.Priority, r.Target)
+	return fmt.Sprintf("p%d-%v", r.Priority, r.TargetLatency)
 }
 
 // slackRefillShare is the share of a host's slack that refills over each window; the rest is
@@ -163,13 +163,13 @@
 		config.RetryBudget = retryShare * b.Ratio
 		config.HedgeBurst = max(1, hedgeShare*slack)
 		config.RetryBurst = max(1, retryShare*slack)
-		config.HedgeStart, config.RetryStart = hedgeInitialFill, retryInitialFill
-		config.HedgeRate = hedgeShare * rate
-		config.RetryRate = retryShare * rate
+		config.HedgeInitialFill, config.RetryInitialFill = hedgeInitialFill, retryInitialFill
+		config.HedgesPerSecond = hedgeShare * rate
+		config.RetriesPerSecond = retryShare * rate
 		config.ChargeRefusals = true
-		config.WarmAfter = warmAfterAnswers
-		config.ShareSlots = true
+		config.SlowStartReplies = warmAfterAnswers
+		config.ReserveReportedLoad = true
 		config.AvoidStalled = true
-		config.ZoneCost = crossZonePenaltySeconds
+		config.CrossZonePenaltySeconds = crossZonePenaltySeconds
 	}
 }
--- a/gateway/cross_zone.go
+++ b/gateway/cross_zone.go
@@ -117,13 +117,13 @@
 	request := leg.Request{
 		Request: call.Request, Service: call.Service, Shard: call.Shard, Snapshot: call.Snapshot,
 		Deadline: call.Deadline, Idempotent: true, Body: call.Body, Forward: call.Forward,
-		Server: server.Name, ServerIncarnation: server.Incarnation, MostRecords: call.Forward.Merge.MaxPerPart(),
+		DirectServer: server.Name, DirectIncarnation: server.Incarnation, MaxRecords: call.Forward.Merge.MaxPerPart(),
 	}
 	res := askPeer(ctx, r.links, address, request)
 	switch {
 	case res.Attempt != nil:
 		attempt = *res.Attempt
-		if res.Cut {
+		if res.Truncated {
 			attempt.Reply.Forwarded.FetchFull = r.fetchFull(address, request)
 		}
 		return attempt, true
--- a/gateway/eligibility.go
+++ b/gateway/eligibility.go
@@ -30,12 +30,12 @@
 
 // checkOwn decides on attempts whose server a home on this host has chosen.
 func (g *Gateway) checkOwn(server backend.Server, call backend.Call) eligible.Reason {
-	return g.rules.Load().Zone(server.Zone, call.Forward.Regions)
+	return g.rules.Load().CheckZone(server.Zone, call.Forward.Regions)
 }
 
 // checkForPeer decides on attempts whose server another host has chosen.
 func (g *Gateway) checkForPeer(server backend.Server, call backend.Call) eligible.Reason {
-	return g.rules.Load().ForOthers(g.options.Now(), server.Name, server.Zone, call.Forward.Regions)
+	return g.rules.Load().CheckForwarded(g.options.Now(), server.Name, server.Zone, call.Forward.Regions)
 }
 
 func (g *Gateway) withEligibility(runner backend.Runner, check func(backend.Server, backend.Call) eligible.Reason) backend.Runner {
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -42,7 +42,7 @@
 func (g *Gateway) setEvacuations(zones []string, revision metastore.Revision) {
 	g.serversMu.Lock()
 	defer g.serversMu.Unlock()
-	next, changes := g.evacuations.current.With(g.options.Now(), zones)
+	next, changes := g.evacuations.current.Update(g.options.Now(), zones)
 	first := g.evacuations.current == nil
 	g.evacuations.current = next
 	g.evacuations.zones.Set(float64(len(zones)))
@@ -58,7 +58,7 @@
 // refuses all requests, so that a host that starts during an evacuation sends nothing to a
 // zone that is about to lose power.
 func (g *Gateway) evacuationsListed() bool {
-	return g.evacuationList == nil || g.evacuationList.Listed()
+	return g.evacuationList == nil || g.evacuationList.HasSynced()
 }
 
 // nextRules returns the current rules without cold servers. serversMu is held.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,8 +53,8 @@
 	Zone   string // availability zone
 	// CallerAddress is the IP and port at which callers reach this host.
 	CallerAddress string
-	// Peers is the listener for calls of other hosts.
-	Peers net.Listener
+	// PeerListener is the listener for calls of other hosts.
+	PeerListener net.Listener
 	// Regions maps availability zones to regions.
 	Regions map[string]string
 	// ConfigKey, ServersPrefix and HostsPrefix are the store keys of the operator's
@@ -64,15 +64,15 @@
 	// evacuated.
 	EvacuationsPrefix string
 	// Warmup bounds the load on cold servers.
-	Warmup eligible.WarmupBounds
-	Tuning
+	Warmup eligible.WarmupTolerance
+	ReloadableOptions
 	// Capacity of this host in thousandths of a core, or less if its network link is the
 	// bottleneck.
 	Capacity uint32
 
-	// OnAttempts is called with the smoothed rate of attempts at backend servers; it may be
+	// OnAttemptRate is called with the smoothed rate of attempts at backend servers; it may be
 	// nil. It must not block.
-	OnAttempts func(perSecond float64)
+	OnAttemptRate func(perSecond float64)
 
 	Store    metastore.Store
 	Backends Backends
@@ -83,9 +83,9 @@
 }
 
 const (
-	// AdviceKeep is how long callers may cache advice. Some cache it adviceTTLFactor times as
+	// AdviceTTL is how long callers may cache advice. Some cache it adviceTTLFactor times as
 	// long. A short time lets callers leave a lost host soon.
-	AdviceKeep = time.Second
+	AdviceTTL = time.Second
 	// adviceTTLFactor is how many times longer some callers cache advice.
 	adviceTTLFactor = 3
 	// cutOffAfter is how long a host that reaches neither the store nor a peer keeps serving:
@@ -115,7 +115,7 @@
 	runCtx    context.Context
 	cancelRun context.CancelFunc
 
-	reloadable  atomic.Pointer[Tuning]
+	reloadable  atomic.Pointer[ReloadableOptions]
 	budgetHosts atomic.Int64 // hosts that the budget's slack is divided by
 	// budgetHomes is the same for services of split searches.
 	budgetHomes  atomic.Int64
@@ -170,7 +170,7 @@
 		return nil, errors.Wrap(err, "create incarnation cache")
 	}
 	g.newestIncarnations = newest
-	g.reloadable.Store(&options.Tuning)
+	g.reloadable.Store(&options.ReloadableOptions)
 	g.budgetHosts.Store(minBudgetHosts)
 	g.budgetHomes.Store(minBudgetHosts)
 	g.runCtx, g.cancelRun = context.WithCancel(context.Background())
@@ -191,7 +191,7 @@
 // Ready reports whether callers should be sent here: configuration, servers and evacuations
 // are known, and the host is neither stopping nor cut off.
 func (g *Gateway) Ready() bool {
-	return g.inForce.Load() != nil && g.servers.Listed() && g.evacuationsListed() && !g.Stopping() && !g.cutOff()
+	return g.inForce.Load() != nil && g.servers.HasSynced() && g.evacuationsListed() && !g.Stopping() && !g.cutOff()
 }
 
 // Stopping reports whether a planned stop has begun.
@@ -208,8 +208,8 @@
 // cutOff reports whether this host has reached neither the store nor a peer for so long that
 // its configuration may be outdated.
 func (g *Gateway) cutOff() bool {
-	lastContact := g.configs.HeardAt()
-	if at := g.servers.HeardAt(); at.After(lastContact) {
+	lastContact := g.configs.LastContact()
+	if at := g.servers.LastContact(); at.After(lastContact) {
 		lastContact = at
 	}
 	return g.members.CutOff(g.options.Now(), lastContact, cutOffAfter)
@@ -225,7 +225,7 @@
 	}
 	run("control", g.control)
 	run("members", g.members.Run)
-	run("peers", func(ctx context.Context) error { return g.peers.Serve(ctx, g.options.Peers) })
+	run("peers", func(ctx context.Context) error { return g.peers.Serve(ctx, g.options.PeerListener) })
 	run("configuration", g.configs.Run)
 	run("servers", g.servers.Run)
 	if g.evacuationList != nil {
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -25,7 +25,7 @@
 
 // Run implements leg.Runner.
 func (p peerLegRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	if request.Server != "" {
+	if request.DirectServer != "" {
 		return p.proxy.Run(request, done)
 	}
 	return p.homes.Run(request, done)
@@ -59,7 +59,7 @@
 		done(leg.Failed(request, result.NotReady, result.OutcomeUnsent, "a leg without its request"))
 		return func() {}
 	}
-	if request.Rest {
+	if request.FullAnswer {
 		return s.fullPart(request, done)
 	}
 	s.running.Add(1)
@@ -85,14 +85,14 @@
 	if request.Forward.Merge != nil {
 		limit = request.Forward.Merge.MaxPerPart()
 	}
-	if !res.Usable() || res.Reply == nil || limit == 0 {
+	if !res.HasAnswer() || res.Reply == nil || limit == 0 {
 		return res
 	}
 	if len(res.Body) <= limit*recordSize && res.Reply.FetchFull == nil {
 		return res
 	}
 	s.cache.Add(homePartKey(request), res.Reply)
-	res.Body, res.Cut = scatter.Greatest([][]byte{res.Body}, recordSize, limit), true
+	res.Body, res.Truncated = scatter.TopK([][]byte{res.Body}, recordSize, limit), true
 	res.Digest = leg.Digest(res.Body)
 	return res
 }
@@ -129,7 +129,7 @@
 
 // fullPartFetcher returns a function that fetches all records of a part that a peer truncated.
 func fullPartFetcher(links *exchange.Client, address string, request leg.Request) func(context.Context) ([]byte, error) {
-	request.Rest, request.MostRecords = true, 0
+	request.FullAnswer, request.MaxRecords = true, 0
 	return func(ctx context.Context) ([]byte, error) {
 		res := askPeer(ctx, links, address, request)
 		if res.Outcome != result.OutcomeRan {
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -55,7 +55,7 @@
 	if p.homes == nil {
 		return h.self, ""
 	}
-	first, _ = p.homes.Of(service)
+	first, _ = p.homes.Lookup(service)
 	if first == "" || first == h.self || h.links.Suspects(p.address[first]) {
 		return h.self, ""
 	}
@@ -81,11 +81,11 @@
 
 // Run implements leg.Runner.
 func (r failoverRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	if request.After != "" {
-		r.homes.log.Info("leg taken over from a lost home", zap.String("request", request.Forward.Attempt), zap.String("service", request.Service), zap.String("home", string(request.After)))
+	if request.FailedHome != "" {
+		r.homes.log.Info("leg taken over from a lost home", zap.String("request", request.Forward.Attempt), zap.String("service", request.Service), zap.String("home", string(request.FailedHome)))
 		request.MaxServers = 1
-		if host, known := r.homes.view().Find(request.After); known {
-			request.Only = r.homes.local.Near(request.Service, host.Zone)
+		if host, known := r.homes.view().Find(request.FailedHome); known {
+			request.PinnedServer = r.homes.local.ServerInZone(request.Service, host.Zone)
 		}
 	}
 	return r.homes.local.Run(request, done)
@@ -157,7 +157,7 @@
 
 func (h *homes) place(view *member.View, services []place.Service, largest int, previous *placement) *placement {
 	next := &placement{membership: view, services: services}
-	chosen := entry.Homes(view, h.zones(), largest, h.zone)
+	chosen := entry.SearchHomes(view, h.zones(), largest, h.zone)
 	if len(chosen) == 0 {
 		return next
 	}
@@ -190,14 +190,14 @@
 // Run implements leg.Runner. A leg that may have run at another home runs on this host; see
 // failoverRunner.
 func (r remoteHomeRunner) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	if request.After != "" {
+	if request.FailedHome != "" {
 		return r.local.Run(request, done)
 	}
 	return r.links.To(r.address).Run(request, func(res leg.Result) {
 		if res.Forecast != nil {
 			r.forecasts.record(request.Service, request.Class, *res.Forecast)
 		}
-		if res.Cut && res.Reply != nil {
+		if res.Truncated && res.Reply != nil {
 			res.Reply.FetchFull = fullPartFetcher(r.links, r.address, request)
 		}
 		done(res)
--- a/gateway/load.go
+++ b/gateway/load.go
@@ -38,7 +38,7 @@
 		}
 		cpu, now := cpuTime(), g.options.Now()
 		elapsed := now.Sub(lastTime)
-		share := max(0, (cpu-lastCPU).Seconds()/elapsed.Seconds()/g.reloadable.Load().Processor)
+		share := max(0, (cpu-lastCPU).Seconds()/elapsed.Seconds()/g.reloadable.Load().CPUCores)
 		lastCPU, lastTime = cpu, now
 		g.divideBudget()
 		g.updateWarming()
@@ -48,8 +48,8 @@
 		total := g.attempts.Load()
 		rate = smoothedLoad(rate, float64(total-lastAttempts)/elapsed.Seconds())
 		lastAttempts = total
-		if g.options.OnAttempts != nil {
-			g.options.OnAttempts(rate)
+		if g.options.OnAttemptRate != nil {
+			g.options.OnAttemptRate(rate)
 		}
 	}
 }
--- a/gateway/merge.go
+++ b/gateway/merge.go
@@ -20,15 +20,15 @@
 // part is fetched, or dropped from the answer and counted as missing.
 func merge(ctx context.Context, r *route.Route, answer *scatter.Answer) *Merged {
 	parts := answer.Parts
-	minParts := max(scatter.LeastParts(r.LeastShare, answer.Total), 1)
+	minParts := max(scatter.RequiredShards(r.MinShardShare, answer.Total), 1)
 	for {
 		if len(parts) < minParts {
 			return failCoverage(answer)
 		}
-		records := scatter.Greatest(bodiesOf(parts), recordSize, r.Greatest)
+		records := scatter.TopK(bodiesOf(parts), recordSize, r.TopK)
 		truncated := 0
 		for i := range parts {
-			if mayHoldMore(&parts[i], records, r.Greatest) {
+			if mayHoldMore(&parts[i], records, r.TopK) {
 				parts[i], parts[truncated] = parts[truncated], parts[i]
 				truncated++
 			}
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -9,30 +9,30 @@
 	"github.com/goldcrestspan/goldcrestspan/home"
 )
 
-// Tuning holds the options that can change while the host runs.
-type Tuning struct {
+// ReloadableOptions holds the options that can change while the host runs.
+type ReloadableOptions struct {
 	// Budget bounds the extra attempts at a service.
 	Budget Budget
-	// BodyBytes bounds the bodies of all requests in flight together.
-	BodyBytes int64
-	// StopWithin bounds a planned stop that begins later.
-	StopWithin time.Duration
-	// Processor is the CPU share of this host, in cores.
-	Processor float64
+	// MaxBodyBytes bounds the bodies of all requests in flight together.
+	MaxBodyBytes int64
+	// StopTimeout bounds a planned stop that begins later.
+	StopTimeout time.Duration
+	// CPUCores is the CPU share of this host, in cores.
+	CPUCores float64
 	// Seeds are addresses of initial peers, IP and port; some may be down.
 	Seeds []string
 }
 
-// Retune applies changed options without interrupting requests.
-func (g *Gateway) Retune(next Tuning) {
+// Reload applies changed options without interrupting requests.
+func (g *Gateway) Reload(next ReloadableOptions) {
 	previous := g.reloadable.Swap(&next)
 	g.members.AddSeeds(next.Seeds)
 	if next.Budget != previous.Budget {
-		g.homes.Retune()
+		g.homes.ReapplyConfig()
 	}
 	g.log.Info("limits changed", zap.Float64("extra_ratio", next.Budget.Ratio), zap.Float64("extra_slack", next.Budget.Slack), zap.Duration("extra_window", next.Budget.Window),
-		zap.Int64("body_bytes", next.BodyBytes), zap.Duration("stop_within", next.StopWithin),
-		zap.Float64("processor", next.Processor), zap.Strings("seeds", next.Seeds))
+		zap.Int64("body_bytes", next.MaxBodyBytes), zap.Duration("stop_within", next.StopTimeout),
+		zap.Float64("processor", next.CPUCores), zap.Strings("seeds", next.Seeds))
 }
 
 // minBudgetHosts is the least number of hosts that the budget's slack is divided by: the
@@ -61,12 +61,12 @@
 func (g *Gateway) divideBudget() {
 	view, zones := g.members.View(), g.serversByZone()
 	_, largest := g.sharedServices()
-	hosts := int64(max(minBudgetHosts, len(entry.Carriers(view, zones))))
+	hosts := int64(max(minBudgetHosts, len(entry.AdvisedHosts(view, zones))))
 	homes := budgetHomeCount(entry.HomesPerService(view, zones, largest))
 	previous, previousHomes := g.budgetHosts.Swap(hosts), g.budgetHomes.Swap(homes)
 	if previous == hosts && previousHomes == homes {
 		return
 	}
-	g.homes.Retune()
+	g.homes.ReapplyConfig()
 	g.log.Info("budget of extra arrivals shared", zap.Int64("hosts", hosts), zap.Int64("homes", homes))
 }
--- a/gateway/remote_forecasts.go
+++ b/gateway/remote_forecasts.go
@@ -52,13 +52,13 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	if at, cached := f.silentSince[service]; cached && now.Sub(at) <= forecastTTL {
-		return leg.Forecast{Silent: true}
+		return leg.Forecast{Unresponsive: true}
 	}
 	cached, known := f.reported[forecastKey{service, class}]
 	if !known || now.Sub(cached.at) > forecastTTL {
 		return leg.Forecast{}
 	}
-	cached.forecast.Wait = max(0, cached.forecast.Wait-now.Sub(cached.at))
+	cached.forecast.QueueTime = max(0, cached.forecast.QueueTime-now.Sub(cached.at))
 	return cached.forecast
 }
 
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -30,8 +30,8 @@
 // Query is one request of a caller.
 type Query struct {
 	Arrived time.Time
-	// Budget is how long the caller waits; 0 if it does not say.
-	Budget time.Duration
+	// Timeout is how long the caller waits; 0 if it does not say.
+	Timeout time.Duration
 	// Connection is the connection that the request came on; nil if nothing is known of it.
 	Connection *Connection
 	// Path is the path without the query string.
@@ -82,11 +82,11 @@
 	return g.run(ctx, c, r, service, q)
 }
 
-// TakeBody reserves memory for a request's body before it is read; release frees it. Many
+// ReserveBody reserves memory for a request's body before it is read; release frees it. Many
 // concurrent bodies near the size limit would otherwise exhaust the host's memory. A refused
 // request has not run.
-func (g *Gateway) TakeBody(bytes int64) (release func(), refusal *Answer) {
-	if g.bodyBytes.Add(bytes) > g.reloadable.Load().BodyBytes {
+func (g *Gateway) ReserveBody(bytes int64) (release func(), refusal *Answer) {
+	if g.bodyBytes.Add(bytes) > g.reloadable.Load().MaxBodyBytes {
 		g.bodyBytes.Add(-bytes)
 		return nil, newRefusal(result.Overloaded, "too many bytes of requests in flight", notReadyRetryAfter)
 	}
@@ -97,7 +97,7 @@
 // flight. A refused request has not run, so another host may serve it.
 func (g *Gateway) checkAdmission(c *configuration, inFlight int64) *Answer {
 	switch {
-	case c == nil || !g.servers.Listed():
+	case c == nil || !g.servers.HasSynced():
 		return newRefusal(result.NotReady, "no configuration yet", notReadyRetryAfter)
 	case !g.evacuationsListed():
 		return newRefusal(result.NotReady, "evacuated zones are not known yet", notReadyRetryAfter)
@@ -126,28 +126,28 @@
 	return out
 }
 
-func (g *Gateway) querySpec(c *configuration, r *route.Route, service string, q Query) scatter.Work {
+func (g *Gateway) querySpec(c *configuration, r *route.Route, service string, q Query) scatter.QuerySpec {
 	class := className(r)
 	plan := scatter.Plan{
-		Request:       ident.NewRequestID(),
-		Snapshot:      c.singleService[service],
-		Started:       q.Arrived,
-		Deadline:      q.Arrived.Add(timeoutOf(r, q)),
-		LeastCoverage: 1,
-		Prefer:        bundle.PreferCoverage,
-		Idempotent:    r.Idempotent,
-	}
-	if r.Target > 0 {
-		g.setTarget(&plan, r.Target, class, q)
-	}
-	if r.AsksAll() {
+		Request:     ident.NewRequestID(),
+		Snapshot:    c.singleService[service],
+		Started:     q.Arrived,
+		Deadline:    q.Arrived.Add(timeoutOf(r, q)),
+		MinCoverage: 1,
+		Prefer:      bundle.PreferCoverage,
+		Idempotent:  r.Idempotent,
+	}
+	if r.TargetLatency > 0 {
+		g.setTarget(&plan, r.TargetLatency, class, q)
+	}
+	if r.IsFanout() {
 		plan.Snapshot = c.shards[r]
-		plan.LeastCoverage = r.LeastShare
+		plan.MinCoverage = r.MinShardShare
 		plan.Prefer = bundle.PreferLatency
-		q.Forward.Merge = &forward.Merge{TopK: r.Greatest, Services: len(r.Shards)}
+		q.Forward.Merge = &forward.Merge{TopK: r.TopK, Services: len(r.Shards)}
 	}
 	q.Forward.Regions = r.Regions
-	return scatter.Work{
+	return scatter.QuerySpec{
 		Plan:       plan,
 		Index:      r.Name,
 		Class:      class,
@@ -161,13 +161,13 @@
 // connection the clock has run since before the connection was opened; for a retry only the
 // round trip is known.
 func (g *Gateway) setTarget(plan *scatter.Plan, target time.Duration, class string, q Query) {
-	plan.Target = q.Arrived.Add(target)
-	elapsed := g.timeouts.elapsed(q.Arrived, class, q.Budget)
+	plan.SoftDeadline = q.Arrived.Add(target)
+	elapsed := g.timeouts.elapsed(q.Arrived, class, q.Timeout)
 	if elapsed <= min(maxConnectTime, target/2) {
 		q.Connection.recordRoundTrip(elapsed)
-		plan.Target = plan.Target.Add(-elapsed)
+		plan.SoftDeadline = plan.SoftDeadline.Add(-elapsed)
 	}
-	plan.Way = q.Connection.rtt()
+	plan.CallerRTT = q.Connection.rtt()
 }
 
 // defaultTimeout applies if neither the request nor the route has a timeout.
@@ -179,22 +179,22 @@
 	if r.Timeout > 0 {
 		timeout = r.Timeout
 	}
-	if q.Budget > 0 {
-		timeout = min(timeout, q.Budget)
+	if q.Timeout > 0 {
+		timeout = min(timeout, q.Timeout)
 	}
 	return timeout
 }
 
 func toAnswer(ctx context.Context, r *route.Route, answer *scatter.Answer) *Answer {
 	var merged *Merged
-	if r.AsksAll() && hasAnswer(answer.Code) {
+	if r.IsFanout() && hasAnswer(answer.Code) {
 		merged = merge(ctx, r, answer)
 	}
 	out := &Answer{Code: answer.Code, Detail: answer.Detail, RetryAfter: answer.RetryAfter, Merged: merged}
 	switch {
-	case !r.AsksAll() && len(answer.Parts) == 1:
+	case !r.IsFanout() && len(answer.Parts) == 1:
 		out.Reply = answer.Parts[0].Reply
-	case !r.AsksAll() && len(answer.Missing) == 1 && !answer.Code.NotRun():
+	case !r.IsFanout() && len(answer.Missing) == 1 && !answer.Code.NotRun():
 		out.Reply = answer.Missing[0].Reply
 	}
 	return out
@@ -230,7 +230,7 @@
 		zap.String("request", q.Forward.Attempt), zap.String("route", r.Name), zap.Uint64("config", versionOf(c)),
 		zap.Stringer("code", a.Code), zap.Int("parts", len(a.Parts)), zap.Int("total", a.Total),
 		zap.Int("attempts", a.Attempts), zap.Int("hedges", a.Hedges),
-		zap.Duration("budget", q.Budget), zap.Duration("took", took),
+		zap.Duration("budget", q.Timeout), zap.Duration("took", took),
 	}
 	if a.Detail != "" {
 		fields = append(fields, zap.String("detail", a.Detail), zap.Duration("retry_after", a.RetryAfter))
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -64,7 +64,7 @@
 // publishServers updates the servers that homes and peers may send requests to. serversMu is
 // held.
 func (g *Gateway) publishServers() {
-	byService := make(map[string][]homeserver.Known)
+	byService := make(map[string][]homeserver.KnownServer)
 	inService := make(map[string]backend.Server, len(g.serverKeys))
 	rules := g.nextRules()
 	for _, key := range g.serverKeys {
@@ -77,7 +77,7 @@
 		if !server.Leaving {
 			inService[state.entry.Name] = server.Server
 		}
-		if server.Warmup.For > 0 && !server.ColdUntil.IsZero() {
+		if server.Warmup.Duration > 0 && !server.ColdUntil.IsZero() {
 			rules.Cold[state.entry.Name] = server.ColdUntil
 		}
 	}
@@ -90,18 +90,18 @@
 
 // knownServer converts a server's state for the homes. A server in an evacuated zone is treated
 // like one that is leaving: it gets no new work, and its running work may finish.
-func (g *Gateway) knownServer(state serverState, rules *eligible.Rules) homeserver.Known {
+func (g *Gateway) knownServer(state serverState, rules *eligible.Rules) homeserver.KnownServer {
 	entry := state.entry
-	server := homeserver.Known{
+	server := homeserver.KnownServer{
 		Server:    serverOf(entry),
 		SameZone:  entry.Zone == g.options.Zone,
-		Leaving:   entry.Leaving || rules.Zone(entry.Zone, nil) != eligible.Allowed,
+		Leaving:   entry.Leaving || rules.CheckZone(entry.Zone, nil) != eligible.Allowed,
 		Slots:     entry.Slots,
 		Region:    rules.Regions[entry.Zone],
 		ColdUntil: state.coldUntil,
 		Warmup:    g.warming.limits(entry.Service, entry.Zone),
 	}
-	if readmitted := rules.Evacuations.ColdUntil(entry.Zone, server.Warmup.For); readmitted.After(server.ColdUntil) {
+	if readmitted := rules.Evacuations.ColdUntil(entry.Zone, server.Warmup.Duration); readmitted.After(server.ColdUntil) {
 		server.ColdUntil = readmitted
 	}
 	return server
--- a/gateway/split.go
+++ b/gateway/split.go
@@ -23,7 +23,7 @@
 
 // addSplit records the services of the route if its searches are split.
 func (c *configuration) addSplit(r *route.Route) {
-	if !entry.Splits(len(r.Shards)) {
+	if !entry.ShouldSplit(len(r.Shards)) {
 		return
 	}
 	c.largestSplit = max(c.largestSplit, len(r.Shards))
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -14,7 +14,7 @@
 // plannedStop removes this host from the advice, keeps serving while callers may hold older
 // advice, then refuses new work, and returns when nothing is in flight or on timeout.
 func (g *Gateway) plannedStop(runCtx context.Context) {
-	stop := drain.Begin(g.options.Now(), adviceTTLFactor*AdviceKeep, g.reloadable.Load().StopWithin)
+	stop := drain.Begin(g.options.Now(), adviceTTLFactor*AdviceTTL, g.reloadable.Load().StopTimeout)
 	g.stop.Store(stop)
 	ctx, cancel := context.WithTimeout(runCtx, leaveTimeout)
 	defer cancel()
--- a/gateway/warming.go
+++ b/gateway/warming.go
@@ -20,26 +20,26 @@
 type warming struct {
 	self   ident.HostID
 	zone   string // availability zone of this host
-	bounds eligible.WarmupBounds
+	bounds eligible.WarmupTolerance
 	// services holds those whose servers get limited load while cold.
 	services map[string]eligible.Warmup
 
-	zoneTurn              eligible.Turn // to warm services that are not spread
-	homeTurn              eligible.Turn // to warm services whose home is here
-	placement             *place.Homes  // placement that homeTurn applies to
+	zoneTurn              eligible.WarmupRole // to warm services that are not spread
+	homeTurn              eligible.WarmupRole // to warm services whose home is here
+	placement             *place.Homes        // placement that homeTurn applies to
 	split                 map[string]bool
 	warmsZone, warmsHomed bool
 }
 
 // limits returns this host's bounds for servers of the service in the zone.
-func (w *warming) limits(service, zone string) home.Warmup {
+func (w *warming) limits(service, zone string) home.WarmupLimit {
 	warmup, bounded := w.services[service]
 	if !bounded {
-		return home.Warmup{}
+		return home.WarmupLimit{}
 	}
-	limits := home.Warmup{For: warmup.For}
+	limits := home.WarmupLimit{Duration: warmup.Duration}
 	if zone == w.zone && w.warms(service) {
-		limits.PerSecond = w.bounds.Share(warmup)
+		limits.PerSecond = w.bounds.PerHostRate(warmup)
 	}
 	return limits
 }
@@ -48,7 +48,7 @@
 	if w.placement == nil || !w.split[service] {
 		return w.warmsZone
 	}
-	first, _ := w.placement.Of(service)
+	first, _ := w.placement.Lookup(service)
 	return w.warmsHomed && first == w.self
 }
 
@@ -64,16 +64,16 @@
 
 // update applies the current membership and placement, and reports whether this host's part
 // in warming has changed.
-func (w *warming) update(now time.Time, view *member.View, placement *place.Homes, contact eligible.Contact) bool {
+func (w *warming) update(now time.Time, view *member.View, placement *place.Homes, contact eligible.PeerContact) bool {
 	proxy, known := entry.Proxies(view)[w.zone]
-	w.zoneTurn.Set(now, known && proxy.ID == w.self)
+	w.zoneTurn.SetAssigned(now, known && proxy.ID == w.self)
 	moved := placement != w.placement
 	if moved {
 		w.placement = placement
-		w.homeTurn.Restart()
+		w.homeTurn.Reset()
 	}
-	w.homeTurn.Set(now, placement != nil)
-	zone, homed := w.zoneTurn.Warms(now, contact), w.homeTurn.Warms(now, contact)
+	w.homeTurn.SetAssigned(now, placement != nil)
+	zone, homed := w.zoneTurn.MayWarm(now, contact), w.homeTurn.MayWarm(now, contact)
 	changed := moved || zone != w.warmsZone || homed != w.warmsHomed
 	w.warmsZone, w.warmsHomed = zone, homed
 	return changed
@@ -87,7 +87,7 @@
 		return
 	}
 	view := g.members.View()
-	contact := eligible.Contact{Alone: len(view.Hosts) < 2, HeardAt: g.members.PeerHeardAt()}
+	contact := eligible.PeerContact{Alone: len(view.Hosts) < 2, LastContact: g.members.LastPeerContact()}
 	if !g.warming.update(g.options.Now(), view, g.sharedHomes.withinZone(g.options.Zone), contact) {
 		return
 	}
--- a/gateway/watchers.go
+++ b/gateway/watchers.go
@@ -28,7 +28,7 @@
 	if len(view.Hosts) <= allWatchMaxHosts || view.Minority || !g.members.Joined() {
 		return true
 	}
-	if g.options.Now().Sub(g.members.PeerHeardAt()) > maxPeerSilence {
+	if g.options.Now().Sub(g.members.LastPeerContact()) > maxPeerSilence {
 		return true
 	}
 	return view.IsWatcher(g.options.Zone, watchersPerZone(view))
@@ -83,13 +83,13 @@
 
 // handleConfigNews handles the revisions that a peer has announced. It runs on the membership
 // control loop.
-func (g *Gateway) handleConfigNews(news member.ConfigNews) {
+func (g *Gateway) handleConfigNews(news member.ConfigUpdate) {
 	peers := g.peersToAsk(news)
-	g.servers.Hear(discover.Hint{Peers: peers, Revision: news.Store.Servers})
+	g.servers.Notify(discover.Hint{Peers: peers, Revision: news.Store.Servers})
 	if g.evacuationList != nil {
-		g.evacuationList.Hear(discover.Hint{Peers: peers, Revision: news.Store.Evacuations})
+		g.evacuationList.Notify(discover.Hint{Peers: peers, Revision: news.Store.Evacuations})
 	}
-	g.configs.Hear(discover.Hint{Peers: peers, Revision: metastore.Revision(news.Generation), Newer: g.inForce.Load().hasLost(news)})
+	g.configs.Notify(discover.Hint{Peers: peers, Revision: metastore.Revision(news.Generation), HasNewerWrites: g.inForce.Load().hasLost(news)})
 	// Pass on revisions that are known already without a change.
 	raised := raiseIfKnown(g.servers, &g.serversRevision, news.Store.Servers)
 	raised = raiseIfKnown(g.evacuationList, &g.evacuationsRevision, news.Store.Evacuations) || raised
@@ -101,7 +101,7 @@
 // hasLost reports whether the store that this host has listed has lost the peer's
 // configuration: the peer's version is higher and its revision is not. A newer configuration
 // that has not arrived yet has a higher revision.
-func (c *configuration) hasLost(news member.ConfigNews) bool {
+func (c *configuration) hasLost(news member.ConfigUpdate) bool {
 	return c != nil && c.version() < news.Store.ConfigVersion && metastore.Revision(news.Generation) <= c.revision
 }
 
@@ -116,7 +116,7 @@
 
 // peersToAsk returns the watchers of this host's zone in random order and, last, the sender of
 // the news: traffic between zones is billed, and large configurations go to every host.
-func (g *Gateway) peersToAsk(news member.ConfigNews) []string {
+func (g *Gateway) peersToAsk(news member.ConfigUpdate) []string {
 	view := g.members.View()
 	watchers := view.Watchers(g.options.Zone, watchersPerZone(view))
 	rand.Shuffle(len(watchers), func(i, j int) { watchers[i], watchers[j] = watchers[j], watchers[i] })
--- a/gateway/zone_proxy.go
+++ b/gateway/zone_proxy.go
@@ -48,7 +48,7 @@
 		done(*failure)
 		return func() {}
 	}
-	if request.Rest {
+	if request.FullAnswer {
 		done(s.cachedPart(request))
 		return func() {}
 	}
@@ -68,13 +68,13 @@
 		failed := leg.Failed(request, result.NotReady, result.OutcomeUnsent, "not ready for legs of peers")
 		return backend.Server{}, &failed
 	}
-	server, ok := (*inService)[request.Server]
+	server, ok := (*inService)[request.DirectServer]
 	if !ok {
-		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "unknown or leaving server "+request.Server)
+		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "unknown or leaving server "+request.DirectServer)
 		return backend.Server{}, &failed
 	}
-	if request.ServerIncarnation != server.Incarnation {
-		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "another start of server "+request.Server)
+	if request.DirectIncarnation != server.Incarnation {
+		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "another start of server "+request.DirectServer)
 		return backend.Server{}, &failed
 	}
 	return server, nil
@@ -94,9 +94,9 @@
 		return res
 	}
 	res.Body = attempt.Reply.Body
-	if limit := request.MostRecords; limit > 0 && len(res.Body) > limit*recordSize {
+	if limit := request.MaxRecords; limit > 0 && len(res.Body) > limit*recordSize {
 		s.cache.Add(proxyPartKey(request), res.Body)
-		res.Body, res.Cut = scatter.Greatest([][]byte{res.Body}, recordSize, limit), true
+		res.Body, res.Truncated = scatter.TopK([][]byte{res.Body}, recordSize, limit), true
 	}
 	return res
 }
@@ -114,5 +114,5 @@
 }
 
 func proxyPartKey(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, source: request.Server}
+	return partKey{attempt: request.Forward.Attempt, source: request.DirectServer}
 }
