--- a/gateway/components.go
+++ b/gateway/components.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	g.configs = g.newFollower(storeMetrics, g.options.ConfigKey, nil, g.applyConfigs)
-	g.servers = g.newFollower(storeMetrics, g.options.ServersPrefix, g.currentDebounce, g.applyServers)
+	g.servers = g.newFollower(storeMetrics, g.options.ServersPrefix, g.batchInterval, g.applyServers)
 	followers := []*discover.Follower{g.configs, g.servers}
 	if g.options.EvacuationsPrefix != "" {
 		g.evacuationList = g.newFollower(storeMetrics, g.options.EvacuationsPrefix, nil, g.applyEvacuations)
@@ -115,7 +115,7 @@
 		Now:            g.options.Now,
 		Logger:         g.log,
 		Registerer:     registry,
-		OnConfigUpdate: g.handleConfigNews,
+		OnConfigUpdate: g.handleConfigUpdate,
 	})
 }
 
@@ -130,7 +130,7 @@
 }
 
 func (g *Gateway) newHomes(runner *crossZoneRunner, counters *observe.Metrics) *homeserver.Server {
-	homes := homeserver.New(loggingRunner{g.withEligibility(runner, g.checkOwn), g.log, g.options.Now, &g.attempts}, counters, noWatcher{}, g.options.Now, g.homesConfig)
+	homes := homeserver.New(loggingRunner{g.withEligibility(runner, g.checkOwn), g.log, g.options.Now, &g.attempts}, counters, noopObserver{}, g.options.Now, g.homesConfig)
 	homes.SetObserver(g.logServer)
 	homes.SetConfigOverride(g.configureHome)
 	return homes
@@ -150,7 +150,7 @@
 func (g *Gateway) newSharedHomes(local *homeserver.Server, members *member.Agent, pool *peer.Pool, forecasts *remoteForecasts) *homes {
 	links := exchange.NewClient(g.runCtx, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
 	links.Liveness = peerLinkLiveness
-	links.OnUnresponsive = forecasts.recordSilent
+	links.OnUnresponsive = forecasts.recordUnresponsive
 	return &homes{
 		self: ident.HostID(g.options.Name), zone: g.options.Zone, local: local, view: members.View, zones: g.serversByZone, split: g.sharedServices,
 		links: links, forecasts: forecasts, log: g.log,
@@ -174,35 +174,35 @@
 }
 
 // of returns the coordinator for a request.
-func (c coordinators) of(work *scatter.QuerySpec) *scatter.Coordinator {
-	if work.Forward.Merge == nil || len(work.Body) > maxProxiedBodyBytes || !c.homes.allInRegions(work.Forward.Regions) {
+func (c coordinators) of(spec *scatter.QuerySpec) *scatter.Coordinator {
+	if spec.Forward.Merge == nil || len(spec.Body) > maxProxiedBodyBytes || !c.homes.allInRegions(spec.Forward.Regions) {
 		return c.plain
 	}
 	return c.shared
 }
 
 const (
-	// serversDebounce is how long changes of the servers are collected before they are
+	// serversBatchInterval is how long changes of the servers are collected before they are
 	// fetched.
-	serversDebounce = 250 * time.Millisecond
-	// startupDebounce applies during the startupPeriod of a host. While a whole fleet starts,
-	// all hosts watch the store, and each change of a server would wake each of them.
-	startupDebounce = time.Second
-	startupPeriod   = 4 * time.Second
+	serversBatchInterval = 250 * time.Millisecond
+	// startupBatchInterval applies during the startupPeriod of a host. While a whole fleet
+	// starts, all hosts watch the store, and each change of a server would wake each of them.
+	startupBatchInterval = time.Second
+	startupPeriod        = 4 * time.Second
 )
 
-// currentDebounce returns how long changes of the servers are collected now.
-func (g *Gateway) currentDebounce() time.Duration {
+// batchInterval returns how long changes of the servers are collected now.
+func (g *Gateway) batchInterval() time.Duration {
 	if g.options.Now().Sub(g.startedAt) < startupPeriod {
-		return startupDebounce
+		return startupBatchInterval
 	}
-	return serversDebounce
+	return serversBatchInterval
 }
 
-func (g *Gateway) newFollower(metrics *discover.Metrics, prefix string, settle func() time.Duration, apply func([]metastore.Object, metastore.Revision)) *discover.Follower {
+func (g *Gateway) newFollower(metrics *discover.Metrics, prefix string, batchInterval func() time.Duration, onChange func([]metastore.Object, metastore.Revision)) *discover.Follower {
 	return discover.NewFollower(discover.Config{
-		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, OnChange: apply,
-		Relay: g.relay, IsWatcher: g.isWatcher, WatcherCount: g.watcherCount, Joined: g.members.Joined, BatchInterval: settle, AllowStaleFirstList: prefix != g.options.ConfigKey,
+		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, OnChange: onChange,
+		Relay: g.relay, IsWatcher: g.isWatcher, WatcherCount: g.watcherCount, Joined: g.members.Joined, BatchInterval: batchInterval, AllowStaleFirstList: prefix != g.options.ConfigKey,
 		Order: g.options.Decode.Order, Metrics: metrics,
 	})
 }
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -28,9 +28,9 @@
 	// zones: traffic between zones is billed, so it is avoided while a local server has
 	// capacity.
 	crossZonePenaltySeconds = 0.015
-	// warmAfterAnswers is how many answers a new server gives before it gets as much
+	// slowStartReplies is how many replies a new server gives before it gets as much
 	// concurrent work as the others.
-	warmAfterAnswers = 1
+	slowStartReplies = 1
 	// unknownClassHedgeFraction is the fraction of its target after which a class without
 	// enough latency samples is hedged.
 	unknownClassHedgeFraction = 0.4
@@ -92,8 +92,8 @@
 			c.shards[r] = newSnapshot(config.Version, r.Shards)
 			c.addSplit(r)
 		}
-		for _, share := range r.WeightedServices {
-			c.singleService[share.Service] = newSnapshot(config.Version, []string{share.Service})
+		for _, weighted := range r.WeightedServices {
+			c.singleService[weighted.Service] = newSnapshot(config.Version, []string{weighted.Service})
 		}
 	}
 	return c, nil
@@ -167,7 +167,7 @@
 		config.HedgesPerSecond = hedgeShare * rate
 		config.RetriesPerSecond = retryShare * rate
 		config.ChargeRefusals = true
-		config.SlowStartReplies = warmAfterAnswers
+		config.SlowStartReplies = slowStartReplies
 		config.ReserveReportedLoad = true
 		config.AvoidStalled = true
 		config.CrossZonePenaltySeconds = crossZonePenaltySeconds
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -46,7 +46,7 @@
 	Trim(server backend.Server, keep int)
 }
 
-// Options configures a Gateway. All fields are required except OnAttempts.
+// Options configures a Gateway. All fields are required except OnAttemptRate.
 type Options struct {
 	Name   string // name of this host
 	Region string
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -16,7 +16,7 @@
 	"github.com/goldcrestspan/goldcrestspan/scatter"
 )
 
-// peerLegRunner runs the legs that peers send: legs for a named server, and legs of searches
+// peerLegRunner runs the legs that peers send: legs for a given server, and legs of searches
 // whose services have their home on this host.
 type peerLegRunner struct {
 	proxy *proxyServer
--- a/gateway/load.go
+++ b/gateway/load.go
@@ -23,7 +23,7 @@
 }
 
 // measureLoad reports this host's CPU load to the peers and its rate of attempts to
-// OnAttempts.
+// OnAttemptRate.
 func (g *Gateway) measureLoad(ctx context.Context) error {
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
--- a/gateway/merge.go
+++ b/gateway/merge.go
@@ -67,11 +67,11 @@
 }
 
 // mayHoldMore reports whether omitted records of a truncated part may belong in the answer.
-func mayHoldMore(part *scatter.Part, records []byte, greatest int) bool {
+func mayHoldMore(part *scatter.Part, records []byte, topK int) bool {
 	if part.Reply == nil || part.Reply.FetchFull == nil {
 		return false
 	}
-	if len(records) < greatest*recordSize || len(part.Body) < recordSize {
+	if len(records) < topK*recordSize || len(part.Body) < recordSize {
 		return true
 	}
 	least := part.Body[len(part.Body)-recordSize:] // in descending order
--- a/gateway/remote_forecasts.go
+++ b/gateway/remote_forecasts.go
@@ -16,9 +16,9 @@
 type remoteForecasts struct {
 	now func() time.Time
 
-	mu          sync.Mutex
-	reported    map[forecastKey]reported
-	silentSince map[string]time.Time // when a service was last reported silent
+	mu             sync.Mutex
+	reported       map[forecastKey]reported
+	unresponsiveAt map[string]time.Time // when a service was last reported unresponsive
 }
 
 type forecastKey struct{ service, class string }
@@ -29,20 +29,20 @@
 }
 
 func newRemoteForecasts(now func() time.Time) *remoteForecasts {
-	return &remoteForecasts{now: now, reported: make(map[forecastKey]reported), silentSince: make(map[string]time.Time)}
+	return &remoteForecasts{now: now, reported: make(map[forecastKey]reported), unresponsiveAt: make(map[string]time.Time)}
 }
 
 func (f *remoteForecasts) record(service, class string, forecast leg.Forecast) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reported[forecastKey{service, class}] = reported{forecast, f.now()}
-	delete(f.silentSince, service)
+	delete(f.unresponsiveAt, service)
 }
 
-func (f *remoteForecasts) recordSilent(service string) {
+func (f *remoteForecasts) recordUnresponsive(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silentSince[service] = f.now()
+	f.unresponsiveAt[service] = f.now()
 }
 
 // forecast returns the cached forecast less the time that has passed; the zero Forecast if
@@ -51,7 +51,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if at, cached := f.silentSince[service]; cached && now.Sub(at) <= forecastTTL {
+	if at, cached := f.unresponsiveAt[service]; cached && now.Sub(at) <= forecastTTL {
 		return leg.Forecast{Unresponsive: true}
 	}
 	cached, known := f.reported[forecastKey{service, class}]
@@ -71,9 +71,9 @@
 			delete(f.reported, key)
 		}
 	}
-	for service := range f.silentSince {
+	for service := range f.unresponsiveAt {
 		if !configured(service) {
-			delete(f.silentSince, service)
+			delete(f.unresponsiveAt, service)
 		}
 	}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -138,7 +138,7 @@
 		Idempotent:  r.Idempotent,
 	}
 	if r.TargetLatency > 0 {
-		g.setTarget(&plan, r.TargetLatency, class, q)
+		g.setSoftDeadline(&plan, r.TargetLatency, class, q)
 	}
 	if r.IsFanout() {
 		plan.Snapshot = c.shards[r]
@@ -157,10 +157,10 @@
 	}
 }
 
-// setTarget sets when the caller's target latency passes, by the caller's clock. On a new
+// setSoftDeadline sets when the caller's target latency passes, by the caller's clock. On a new
 // connection the clock has run since before the connection was opened; for a retry only the
 // round trip is known.
-func (g *Gateway) setTarget(plan *scatter.Plan, target time.Duration, class string, q Query) {
+func (g *Gateway) setSoftDeadline(plan *scatter.Plan, target time.Duration, class string, q Query) {
 	plan.SoftDeadline = q.Arrived.Add(target)
 	elapsed := g.timeouts.elapsed(q.Arrived, class, q.Timeout)
 	if elapsed <= min(maxConnectTime, target/2) {
--- a/gateway/warming.go
+++ b/gateway/warming.go
@@ -24,8 +24,8 @@
 	// services holds those whose servers get limited load while cold.
 	services map[string]eligible.Warmup
 
-	zoneTurn              eligible.WarmupRole // to warm services that are not spread
-	homeTurn              eligible.WarmupRole // to warm services whose home is here
+	zoneRole              eligible.WarmupRole // to warm services that are not spread
+	homeRole              eligible.WarmupRole // to warm services whose home is here
 	placement             *place.Homes        // placement that homeTurn applies to
 	split                 map[string]bool
 	warmsZone, warmsHomed bool
@@ -66,14 +66,14 @@
 // in warming has changed.
 func (w *warming) update(now time.Time, view *member.View, placement *place.Homes, contact eligible.PeerContact) bool {
 	proxy, known := entry.Proxies(view)[w.zone]
-	w.zoneTurn.SetAssigned(now, known && proxy.ID == w.self)
+	w.zoneRole.SetAssigned(now, known && proxy.ID == w.self)
 	moved := placement != w.placement
 	if moved {
 		w.placement = placement
-		w.homeTurn.Reset()
+		w.homeRole.Reset()
 	}
-	w.homeTurn.SetAssigned(now, placement != nil)
-	zone, homed := w.zoneTurn.MayWarm(now, contact), w.homeTurn.MayWarm(now, contact)
+	w.homeRole.SetAssigned(now, placement != nil)
+	zone, homed := w.zoneRole.MayWarm(now, contact), w.homeRole.MayWarm(now, contact)
 	changed := moved || zone != w.warmsZone || homed != w.warmsHomed
 	w.warmsZone, w.warmsHomed = zone, homed
 	return changed
--- a/gateway/watchers.go
+++ b/gateway/watchers.go
@@ -81,18 +81,18 @@
 	g.members.AnnounceStore(revisions)
 }
 
-// handleConfigNews handles the revisions that a peer has announced. It runs on the membership
+// handleConfigUpdate handles the revisions that a peer has announced. It runs on the membership
 // control loop.
-func (g *Gateway) handleConfigNews(news member.ConfigUpdate) {
-	peers := g.peersToAsk(news)
-	g.servers.Notify(discover.Hint{Peers: peers, Revision: news.Store.Servers})
+func (g *Gateway) handleConfigUpdate(update member.ConfigUpdate) {
+	peers := g.peersToAsk(update)
+	g.servers.Notify(discover.Hint{Peers: peers, Revision: update.Store.Servers})
 	if g.evacuationList != nil {
-		g.evacuationList.Notify(discover.Hint{Peers: peers, Revision: news.Store.Evacuations})
+		g.evacuationList.Notify(discover.Hint{Peers: peers, Revision: update.Store.Evacuations})
 	}
-	g.configs.Notify(discover.Hint{Peers: peers, Revision: metastore.Revision(news.Generation), HasNewerWrites: g.inForce.Load().hasLost(news)})
+	g.configs.Notify(discover.Hint{Peers: peers, Revision: metastore.Revision(update.Generation), HasNewerWrites: g.inForce.Load().hasLost(update)})
 	// Pass on revisions that are known already without a change.
-	raised := raiseIfKnown(g.servers, &g.serversRevision, news.Store.Servers)
-	raised = raiseIfKnown(g.evacuationList, &g.evacuationsRevision, news.Store.Evacuations) || raised
+	raised := raiseIfKnown(g.servers, &g.serversRevision, update.Store.Servers)
+	raised = raiseIfKnown(g.evacuationList, &g.evacuationsRevision, update.Store.Evacuations) || raised
 	if raised {
 		g.announce()
 	}
@@ -101,8 +101,8 @@
 // hasLost reports whether the store that this host has listed has lost the peer's
 // configuration: the peer's version is higher and its revision is not. A newer configuration
 // that has not arrived yet has a higher revision.
-func (c *configuration) hasLost(news member.ConfigUpdate) bool {
-	return c != nil && c.version() < news.Store.ConfigVersion && metastore.Revision(news.Generation) <= c.revision
+func (c *configuration) hasLost(update member.ConfigUpdate) bool {
+	return c != nil && c.version() < update.Store.ConfigVersion && metastore.Revision(update.Generation) <= c.revision
 }
 
 // raiseIfKnown raises newest to the announced revision if the follower has reached it.
@@ -115,13 +115,13 @@
 }
 
 // peersToAsk returns the watchers of this host's zone in random order and, last, the sender of
-// the news: traffic between zones is billed, and large configurations go to every host.
-func (g *Gateway) peersToAsk(news member.ConfigUpdate) []string {
+// the update: traffic between zones is billed, and large configurations go to every host.
+func (g *Gateway) peersToAsk(update member.ConfigUpdate) []string {
 	view := g.members.View()
 	watchers := view.Watchers(g.options.Zone, watchersPerZone(view))
 	rand.Shuffle(len(watchers), func(i, j int) { watchers[i], watchers[j] = watchers[j], watchers[i] })
 	var peers []string
-	for _, id := range append(watchers, news.From) {
+	for _, id := range append(watchers, update.From) {
 		host, ok := view.Find(id)
 		if ok && id != ident.HostID(g.options.Name) {
 			peers = append(peers, host.PeerAddress)
