--- a/exchange/direct.go
+++ b/exchange/direct.go
@@ -12,10 +12,10 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// Messages of legs at a named backend server. They omit what the sender knows of its own leg,
+// Messages of legs at a given backend server. They omit what the sender knows of its own leg,
 // since traffic between zones is billed.
 
-func encodeNamed(id uint64, head uint32, r leg.Request, now time.Time) *exchangepb.LegRequest {
+func encodeDirect(id uint64, head uint32, r leg.Request, now time.Time) *exchangepb.LegRequest {
 	return &exchangepb.LegRequest{
 		Leg:          id,
 		Head:         head,
@@ -29,7 +29,7 @@
 	}
 }
 
-func decodeNamed(m *exchangepb.LegRequest, head *forward.Request, now time.Time) leg.Request {
+func decodeDirect(m *exchangepb.LegRequest, head *forward.Request, now time.Time) leg.Request {
 	return leg.Request{
 		DirectServer:      m.GetServer(),
 		Deadline:          now.Add(time.Duration(m.GetDeadlineInNs())),
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -109,7 +109,7 @@
 	if request.DirectServer == "" {
 		return encodeShared(id, head, request)
 	}
-	return encodeNamed(id, head, request, l.now())
+	return encodeDirect(id, head, request, l.now())
 }
 
 // remove deletes a leg, and its head if no other leg uses it; the lock is held.
--- a/exchange/outbox.go
+++ b/exchange/outbox.go
@@ -22,14 +22,14 @@
 
 // item is one message; exactly one field is set.
 type item struct {
-	request   *exchangepb.LegRequest
-	reply     *exchangepb.LegReply
-	cancel    *exchangepb.LegCancel
-	head      *exchangepb.Head
-	endedHead uint32 // a head's id
-	silent    string // a service
-	ping      uint64
-	pong      uint64
+	request      *exchangepb.LegRequest
+	reply        *exchangepb.LegReply
+	cancel       *exchangepb.LegCancel
+	head         *exchangepb.Head
+	endedHead    uint32 // a head's id
+	unresponsive string // a service
+	ping         uint64
+	pong         uint64
 }
 
 func newOutbox() *outbox {
@@ -121,8 +121,8 @@
 			f.Heads = append(f.Heads, it.head)
 		case it.endedHead != 0:
 			f.EndedHeads = append(f.EndedHeads, it.endedHead)
-		case it.silent != "":
-			f.Silent = append(f.Silent, it.silent)
+		case it.unresponsive != "":
+			f.Silent = append(f.Silent, it.unresponsive)
 		case it.ping != 0:
 			f.Ping = it.ping
 		case it.pong != 0:
--- a/exchange/reply_batcher.go
+++ b/exchange/reply_batcher.go
@@ -9,18 +9,19 @@
 	// replyReserve is how long before its legs are due a home sends its replies; it covers a
 	// network path between zones and two busy hosts.
 	replyReserve = 4 * time.Millisecond
-	// silentCheckInterval is how often a home with overdue replies checks for silent services.
-	silentCheckInterval = 100 * time.Millisecond
+	// unresponsiveCheckInterval is how often a home with overdue replies checks for
+	// unresponsive services.
+	unresponsiveCheckInterval = 100 * time.Millisecond
 )
 
 // replyBatcher holds the replies to one search's legs at this host until all are there or due,
 // and then sends them together. Without batches, the coordinating host spends much of its CPU
 // on system calls for a search over many services. Replies after the due time go at once.
 type replyBatcher struct {
-	send   func([]item)
-	silent func(service string) bool
-	now    func() time.Time
-	due    time.Time // zero: replies are not held
+	send         func([]item)
+	unresponsive func(service string) bool
+	now          func() time.Time
+	due          time.Time // zero: replies are not held
 
 	mu     sync.Mutex
 	open   map[uint64]string // services, by the sender's leg number
@@ -29,8 +30,8 @@
 	closed bool
 }
 
-func newReplyBatcher(send func([]item), silent func(string) bool, now func() time.Time, due time.Time) *replyBatcher {
-	b := &replyBatcher{send: send, silent: silent, now: now, open: make(map[uint64]string)}
+func newReplyBatcher(send func([]item), unresponsive func(string) bool, now func() time.Time, due time.Time) *replyBatcher {
+	b := &replyBatcher{send: send, unresponsive: unresponsive, now: now, open: make(map[uint64]string)}
 	if due.IsZero() {
 		return b
 	}
@@ -90,13 +91,13 @@
 	}
 	reported := make(map[string]bool)
 	for _, service := range b.open {
-		if !reported[service] && b.silent(service) {
+		if !reported[service] && b.unresponsive(service) {
 			reported[service] = true
-			b.held = append(b.held, item{silent: service})
+			b.held = append(b.held, item{unresponsive: service})
 		}
 	}
 	b.flush()
-	b.timer.Reset(silentCheckInterval)
+	b.timer.Reset(unresponsiveCheckInterval)
 }
 
 // close stops the timer once the sender has ended the head.
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -47,7 +47,7 @@
 type inboundHead struct {
 	forward *forward.Request
 	// template is copied for each leg to a home, and batcher holds the replies to these legs; unused
-	// for legs to named servers.
+	// for direct legs.
 	template leg.Request
 	batcher  *replyBatcher
 }
@@ -100,8 +100,8 @@
 		return head
 	}
 	head.template = decodeShare(m.GetShare(), head.forward, now)
-	silent := func(service string) bool { return in.server.Forecast(service, head.template.Class).Unresponsive }
-	head.batcher = newReplyBatcher(in.out.putAll, silent, in.server.now, head.template.SoftDeadline)
+	unresponsive := func(service string) bool { return in.server.Forecast(service, head.template.Class).Unresponsive }
+	head.batcher = newReplyBatcher(in.out.putAll, unresponsive, in.server.now, head.template.SoftDeadline)
 	return head
 }
 
@@ -150,7 +150,7 @@
 		head = &inboundHead{} // the runner refuses a leg without a head
 	}
 	if m.GetServer() != "" {
-		return decodeNamed(m, head.forward, now), nil
+		return decodeDirect(m, head.forward, now), nil
 	}
 	request := head.template
 	request.Service, request.Shard = m.GetService(), snapshot.ShardID(m.GetShard())
