--- a/draining/draining.go
+++ b/draining/draining.go
@@ -116,8 +116,8 @@
 	return s == nil || !s.hasLeft(instance.Incarnation)
 }
 
-// Left returns how many servers get no new work.
-func (t *Table) Left() int {
+// LeavingCount returns how many servers get no new work.
+func (t *Table) LeavingCount() int {
 	n := 0
 	for _, s := range t.servers {
 		if s.hasLeft(s.current) {
