--- a/forward/forward.go
+++ b/forward/forward.go
@@ -42,15 +42,15 @@
 func (m Merge) MaxPerPart() int {
 	services := float64(max(m.Services, 1))
 	mean := float64(m.TopK) / services
-	exactly := math.Exp(-mean) // probability of exactly most records in a part
-	more := 1 - exactly        // and of more than most
-	most := 0
-	for most < m.TopK && services*more > maxRefetchRate {
-		most++
-		exactly *= mean / float64(most)
+	exactly := math.Exp(-mean) // probability of exactly limit records in a part
+	more := 1 - exactly        // and of more than limit
+	limit := 0
+	for limit < m.TopK && services*more > maxRefetchRate {
+		limit++
+		exactly *= mean / float64(limit)
 		more -= exactly
 	}
-	return most
+	return limit
 }
 
 // Reply is a backend server's reply.
