--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -280,7 +280,7 @@
 		return
 	}
 	if previous != nil && config.Version < previous.version() {
-		g.log.Warn("ignoring older configuration", zap.Uint64("version", config.Version), zap.Uint64("in_force", previous.version()), observe.Revision("revision", object.Revision))
+		g.log.Warn("older configuration is left out", zap.Uint64("version", config.Version), zap.Uint64("in_force", previous.version()), observe.Revision("revision", object.Revision))
 		return
 	}
 	next, err := newConfiguration(object.Revision, config)
