--- /dev/null
+++ b/exchange/reply_batcher.go
@@ -0,0 +1,111 @@
+package exchange
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// replyReserve is how long before its legs are due a home sends its replies; it covers a
+	// network path between zones and two busy hosts.
+	replyReserve = 4 * time.Millisecond
+	// unresponsiveCheckInterval is how often a home with overdue replies checks for
+	// unresponsive services.
+	unresponsiveCheckInterval = 100 * time.Millisecond
+)
+
+// replyBatcher holds the replies to one search's legs at this host until all are there or due,
+// and then sends them together. Without batches, the coordinating host spends much of its CPU
+// on system calls for a search over many services. Replies after the due time go at once.
+type replyBatcher struct {
+	send         func([]item)
+	unresponsive func(service string) bool
+	now          func() time.Time
+	due          time.Time // zero: replies are not held
+
+	mu     sync.Mutex
+	open   map[uint64]string // services, by the sender's leg number
+	held   []item
+	timer  *time.Timer
+	closed bool
+}
+
+func newReplyBatcher(send func([]item), unresponsive func(string) bool, now func() time.Time, due time.Time) *replyBatcher {
+	b := &replyBatcher{send: send, unresponsive: unresponsive, now: now, open: make(map[uint64]string)}
+	if due.IsZero() {
+		return b
+	}
+	b.due = due.Add(-replyReserve)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.timer = time.AfterFunc(max(b.due.Sub(now()), 0), b.onDue)
+	return b
+}
+
+// begin registers a leg that will get a reply.
+func (b *replyBatcher) begin(id uint64, service string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.open[id] = service
+}
+
+// end adds a leg's reply.
+func (b *replyBatcher) end(id uint64, reply item) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if _, open := b.open[id]; !open {
+		return // cancelled
+	}
+	delete(b.open, id)
+	b.held = append(b.held, reply)
+	if len(b.open) == 0 || !b.now().Before(b.due) {
+		b.flush()
+	}
+}
+
+// drop removes a leg that its sender has cancelled.
+func (b *replyBatcher) drop(id uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.open, id)
+	if len(b.open) == 0 {
+		b.flush()
+	}
+}
+
+// flush sends the held replies; the lock is held.
+func (b *replyBatcher) flush() {
+	if len(b.held) > 0 {
+		b.send(b.held)
+		b.held = nil
+	}
+}
+
+// onDue runs when the legs are due, and periodically after that while some are open.
+func (b *replyBatcher) onDue() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.flush()
+	if b.closed {
+		return
+	}
+	reported := make(map[string]bool)
+	for _, service := range b.open {
+		if !reported[service] && b.unresponsive(service) {
+			reported[service] = true
+			b.held = append(b.held, item{unresponsive: service})
+		}
+	}
+	b.flush()
+	b.timer.Reset(unresponsiveCheckInterval)
+}
+
+// close stops the timer once the sender has ended the head.
+func (b *replyBatcher) close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.closed = true
+	if b.timer != nil {
+		b.timer.Stop()
+	}
+}
