--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -17,71 +17,72 @@
 	"github.com/goldcrestspan/goldcrestspan/rollout/rolloutpb"
 )
 
-// Peers connects to other entry hosts; *peer.Pool does.
+// Peers connects to other entry hosts; *peer.Pool implements it.
 type Peers interface {
 	Conn(ctx context.Context, address string) drpc.Conn
 }
 
-// AgentConfig is what an Agent works with. Store, Peers, Signers, IsWatcher
-// and PeersFn are required.
+// AgentConfig configures an Agent. Store, Peers, Signers, IsWatcher and the
+// source of peer addresses are required.
 type AgentConfig struct {
-	// Address is this host's peers' listener, which others pull from.
+	// Address is this host's peer listener, from which other hosts pull.
 	Address string
 	Store   metastore.Store
 	Peers   Peers
 	Signers bundle.Signers
-	// IsWatcher tells whether this host watches the store for its zone.
+	// IsWatcher reports whether this host watches the store for its zone.
 	IsWatcher func() bool
-	// PeersFn returns the peers' listeners of the other live hosts. Before
-	// membership knows any it returns the addresses of the settings.
+	// PeersFn returns the peer listeners of the other live hosts, or the seed
+	// addresses of the settings while membership knows no host.
 	PeersFn func() []string
-	// Now is the clock; default time.Now.
+	// Now defaults to time.Now.
 	Now func() time.Time
-	// Rand is the source of jitter, used by the agent alone.
+	// Rand is the source of jitter. The agent needs exclusive use of it.
 	Rand       *rand.Rand
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
-	// OnApplied is called in order with each configuration that comes in
-	// force, after Config returns it. It must not block.
+	// OnApplied is called with each configuration in the order of activation,
+	// once Config returns it. It must not block.
 	OnApplied func(*bundle.Config)
 }
 
-// Agent keeps the accepted configuration in force on one host. Run owns all
-// its state; other goroutines read what it publishes.
+// Agent applies accepted configurations on one host. Its state belongs to the
+// control loop in Run; other goroutines read the published snapshot.
 type Agent struct {
 	config  AgentConfig
 	metrics *metrics
 	logger  *zap.Logger
 
-	events       chan event
-	hints        chan hint
-	published    atomic.Pointer[published]
-	ready        atomic.Pointer[bundle.Config]
-	storeHeardAt atomic.Int64 // nanoseconds since 1970; 0: never
-	alarm        atomic.Pointer[string]
-	// Limits of this host's calls to the store.
-	storeLimit    *rate.Limiter
-	documentLimit *rate.Limiter
-	fallbackLimit *rate.Limiter
-	serving       chan struct{}
-
-	// The rest belongs to the control goroutine.
-	core    Core
-	start   Start
+	events         chan event
+	announcements  chan announcement
+	snapshot       atomic.Pointer[snapshot]
+	ready          atomic.Pointer[bundle.Config]
+	lastStoreReply atomic.Int64 // Unix time in nanoseconds; 0: never
+	alarm          atomic.Pointer[string]
+	// Rate limits on this host's calls to the store.
+	storeLimiter    *rate.Limiter
+	documentLimiter *rate.Limiter
+	fallbackLimiter *rate.Limiter
+	serveSlots      chan struct{}
+
+	// The fields below are accessed only by the control loop.
+	active  ActiveConfig
+	startup StartupGate
 	pull    pullState
 	refused refusedSet
 	jitter  func(time.Duration) time.Duration
 }
 
-// published is what the control goroutine shows to other goroutines.
-type published struct {
+// snapshot is the immutable state of the active configuration, which the
+// control loop publishes to other goroutines.
+type snapshot struct {
 	ref      bundle.Ref
 	signed   []byte
 	parts    bundle.Parts
 	contents bundle.Contents
 	config   *bundle.Config
-	// recent are the parts of configurations that were in force before, so
-	// that peers that still have them get only what differs.
+	// recent lists the parts of earlier active configurations, so that peers
+	// that still have one of them are sent only the difference.
 	recent []recentParts
 }
 
@@ -90,7 +91,7 @@
 	parts bundle.Parts
 }
 
-// NewAgent makes an agent; Run starts it.
+// NewAgent returns an agent that does nothing until Run is called.
 func NewAgent(config AgentConfig) *Agent {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -102,33 +103,36 @@
 		config.Logger = zap.NewNop()
 	}
 	a := &Agent{
-		config:        config,
-		metrics:       newMetrics(config.Registerer),
-		logger:        config.Logger.Named("rollout"),
-		events:        make(chan event, eventBuffer),
-		hints:         make(chan hint, eventBuffer),
-		storeLimit:    rate.NewLimiter(storeCallsPerSecond, storeCallBurst),
-		documentLimit: rate.NewLimiter(documentsPerSecond, documentsPerSecond),
-		fallbackLimit: rate.NewLimiter(rate.Every(fallbackEvery), fallbackBurst),
-		serving:       make(chan struct{}, servedAtOnce),
+		config:          config,
+		metrics:         newMetrics(config.Registerer),
+		logger:          config.Logger.Named("rollout"),
+		events:          make(chan event, eventQueueLength),
+		announcements:   make(chan announcement, eventQueueLength),
+		storeLimiter:    rate.NewLimiter(storeCallsPerSecond, storeCallBurst),
+		documentLimiter: rate.NewLimiter(documentsPerSecond, documentsPerSecond),
+		fallbackLimiter: rate.NewLimiter(rate.Every(fallbackInterval), fallbackBurst),
+		serveSlots:      make(chan struct{}, maxConcurrentServes),
 	}
 	jitter := newLockedRand(config.Rand)
 	a.jitter = jitter.upTo
 	return a
 }
 
-// Config is the configuration to serve from; nil until the host is ready.
+// Config returns the configuration to serve with, or nil until the host is
+// ready.
 func (a *Agent) Config() *bundle.Config { return a.ready.Load() }
 
-// InForce names the configuration in force; zero: none yet.
+// InForce returns the reference of the active configuration, or the zero Ref
+// if there is none yet.
 func (a *Agent) InForce() bundle.Ref {
-	if p := a.published.Load(); p != nil {
+	if p := a.snapshot.Load(); p != nil {
 		return p.ref
 	}
 	return bundle.Ref{}
 }
 
-// News is what membership carries about this host's configuration; nil: none.
+// News returns the announcement of the active configuration that membership
+// messages carry, or nil if there is no active configuration.
 func (a *Agent) News() *memberpb.ConfigNews {
 	ref := a.InForce()
 	if ref.IsZero() {
@@ -137,17 +141,19 @@
 	return &memberpb.ConfigNews{Generation: ref.Generation, ManifestHash: ref.Hash[:]}
 }
 
-// StoreHeardAt is when the store last answered; zero: never. Only watchers ask
-// it all the time, so on other hosts it may be long ago.
+// StoreHeardAt returns when the store last answered, or the zero time if it
+// never did. Hosts that aren't watchers call the store rarely, so their value
+// may be old.
 func (a *Agent) StoreHeardAt() time.Time {
-	nanos := a.storeHeardAt.Load()
+	nanos := a.lastStoreReply.Load()
 	if nanos == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, nanos)
 }
 
-// Alarm is what an operator must look at, as a refused bundle; empty: nothing.
+// Alarm returns the current problem that needs an operator, such as a refused
+// bundle, or "" if there is none.
 func (a *Agent) Alarm() string {
 	if text := a.alarm.Load(); text != nil {
 		return *text
@@ -155,9 +161,9 @@
 	return ""
 }
 
-// Heard takes news of another host's configuration, with the address of its
-// peers' listener. It never blocks: news that finds the agent busy is dropped,
-// and comes again with the next message of membership.
+// Heard handles another host's announcement of its configuration; from is that
+// host's peer listener. It never blocks: if the queue is full the announcement
+// is dropped, and the next membership message repeats it.
 func (a *Agent) Heard(news *memberpb.ConfigNews, from string) {
 	if news == nil || news.GetGeneration() == 0 {
 		return
@@ -166,32 +172,33 @@
 	if err != nil {
 		return
 	}
-	a.hear(bundle.Ref{Generation: news.GetGeneration(), Hash: hash}, from)
+	a.enqueueAnnouncement(bundle.Ref{Generation: news.GetGeneration(), Hash: hash}, from)
 }
 
-func (a *Agent) hear(ref bundle.Ref, from string) {
+func (a *Agent) enqueueAnnouncement(ref bundle.Ref, from string) {
 	if a.InForce() == ref {
-		return // by far the most frequent news
+		return // the most frequent case
 	}
 	select {
-	case a.hints <- hint{ref: ref, from: from}:
+	case a.announcements <- announcement{ref: ref, from: from}:
 	default:
-		a.metrics.newsDropped.Inc()
+		a.metrics.announcementsDropped.Inc()
 	}
 }
 
-// Register adds the agent's service to the peers' server.
+// Register adds the rollout service to the peer server.
 func (a *Agent) Register(mux drpc.Mux) error {
 	return rolloutpb.DRPCRegisterRollout(mux, service{agent: a})
 }
 
-// Run keeps the configuration up to date until ctx ends. It is called once.
+// Run keeps the configuration up to date until ctx ends. It may be called only
+// once.
 func (a *Agent) Run(ctx context.Context) error {
 	tasks := newTasks(ctx)
 	defer tasks.stop()
-	tasks.run(a.askStore)
-	tasks.run(a.askPeers)
+	tasks.run(a.queryStoreAtStartup)
+	tasks.run(a.queryPeersAtStartup)
 	tasks.run(a.followStore)
-	a.control(ctx, tasks)
+	a.controlLoop(ctx, tasks)
 	return nil
 }
--- a/rollout/control.go
+++ b/rollout/control.go
@@ -9,33 +9,33 @@
 	"github.com/goldcrestspan/goldcrestspan/bundle"
 )
 
-// hint is word that a configuration exists; it is not trusted.
-type hint struct {
+// announcement is an untrusted claim that a configuration exists.
+type announcement struct {
 	ref bundle.Ref
-	// from is the peers' listener of a host that has it; empty: the store.
+	// from is the peer listener of a host that has it; empty: the store has it.
 	from string
 }
 
-// event is a message to the control goroutine.
+// event is a message to the control loop.
 type event interface{ apply(*Agent, *tasks) }
 
-// headRead is the store's answer to a watcher or a starting host.
+// headRead carries a head object that was read from the store.
 type headRead struct {
 	head  head
 	found bool
 }
 
-// settled ends the asking of one source by a starting host.
-type settled struct{ source Source }
+// sourceDone reports that a source has answered or failed at startup.
+type sourceDone struct{ source Source }
 
-// pulled is the outcome of a pull.
-type pulled struct {
+// pullResult is the outcome of a pull.
+type pullResult struct {
 	candidate *candidate
 	err       error
-	// refusal tells why a bundle must not be applied.
+	// refusal says why the bundle must not be applied.
 	refusal refusal
-	ref     bundle.Ref // what was pulled or refused; zero: not known
-	// partial are documents of a pull that failed midway, for the next.
+	ref     bundle.Ref // what was pulled or refused; zero if unknown
+	// partial holds the documents that a failed pull got, for the next attempt.
 	partial bundle.Contents
 }
 
@@ -44,14 +44,14 @@
 
 const (
 	notRefused refusal = iota
-	// refusedSignOffs: these sign-offs are not enough. The same payload may
-	// come with others, as from a peer that didn't damage them.
-	refusedSignOffs
-	// refusedContent: the payload or its documents are bad, whoever sends them.
+	// refusedSignatures: the signatures are invalid or too few. The same payload
+	// may still arrive with valid signatures from another source.
+	refusedSignatures
+	// refusedContent: the payload or its documents are invalid from any source.
 	refusedContent
 )
 
-// candidate is a configuration whose sign-offs and documents were checked.
+// candidate is a configuration whose signatures and documents are verified.
 type candidate struct {
 	ref      bundle.Ref
 	raw      []byte
@@ -60,28 +60,29 @@
 	config   *bundle.Config
 }
 
-// pullState is the one pull that may be under way, and what comes after it.
+// pullState tracks the pull in progress, of which there is at most one, and
+// the target of the next.
 type pullState struct {
 	running bool
-	// wanted is the highest configuration heard of that is not in force.
-	wanted hint
-	// known is the wanted manifest, when the store gave it.
-	known    *head
-	failures int
-	// partial are documents that an earlier pull got.
+	// target is the highest known configuration that is not active yet.
+	target announcement
+	// targetHead is the target's head object, if it came from the store.
+	targetHead *head
+	failures   int
+	// partial holds documents from an earlier pull that failed.
 	partial bundle.Contents
 }
 
-// refusedSet remembers bundles that failed the checks, so that each is fetched
-// once and not again with each message that names it.
+// refusedSet remembers refused bundles, so that further announcements don't
+// make the host fetch them again.
 type refusedSet struct {
 	refs map[bundle.Ref]bool
 }
 
-const refusedKept = 64
+const maxRefusedRefs = 64
 
 func (s *refusedSet) add(ref bundle.Ref) {
-	if s.refs == nil || len(s.refs) >= refusedKept {
+	if s.refs == nil || len(s.refs) >= maxRefusedRefs {
 		s.refs = make(map[bundle.Ref]bool)
 	}
 	s.refs[ref] = true
@@ -89,22 +90,23 @@
 
 func (s *refusedSet) has(ref bundle.Ref) bool { return s.refs[ref] }
 
-// control owns the agent's state until ctx ends.
-func (a *Agent) control(ctx context.Context, t *tasks) {
+// controlLoop owns the agent's state. It runs until ctx ends.
+func (a *Agent) controlLoop(ctx context.Context, t *tasks) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-a.events:
 			e.apply(a, t)
-		case h := <-a.hints:
-			a.consider(t, h, nil)
+		case ann := <-a.announcements:
+			a.handleAnnouncement(t, ann, nil)
 		}
-		a.becomeReady()
+		a.publishWhenReady()
 	}
 }
 
-// post hands an event to the control goroutine.
+// post sends an event to the control loop. Unlike an announcement it is never
+// dropped.
 func (a *Agent) post(ctx context.Context, e event) {
 	select {
 	case a.events <- e:
@@ -118,53 +120,55 @@
 	}
 	ref, _, err := refOf(e.head.Signed)
 	if err != nil {
-		a.raise("the store's head can't be read: " + err.Error())
+		a.raiseAlarm("the store's head can't be read: " + err.Error())
 		return
 	}
-	// A refused head is read again with each heartbeat; it must not keep a
-	// starting host waiting for a configuration that it will never apply.
+	// The heartbeat reads a refused head repeatedly. It must not keep a
+	// starting host waiting for a configuration that it never applies.
 	if a.refused.has(ref) {
 		return
 	}
-	a.start.Named(ref)
-	a.consider(t, hint{ref: ref}, &e.head)
+	a.startup.Observe(ref)
+	a.handleAnnouncement(t, announcement{ref: ref}, &e.head)
 }
 
-func (e settled) apply(a *Agent, _ *tasks) { a.start.Settle(e.source) }
+func (e sourceDone) apply(a *Agent, _ *tasks) { a.startup.MarkDone(e.source) }
 
-// consider decides what to do about a configuration that was heard of.
-func (a *Agent) consider(t *tasks, h hint, known *head) {
-	if a.refused.has(h.ref) {
+// handleAnnouncement decides what to do about an announced configuration.
+// targetHead is its head object, if the store supplied it.
+func (a *Agent) handleAnnouncement(t *tasks, ann announcement, targetHead *head) {
+	if a.refused.has(ann.ref) {
 		return
 	}
-	switch a.core.Judge(h.ref) {
-	case VerdictOlder:
+	switch a.active.Compare(ann.ref) {
+	case RelationOlder:
 		a.metrics.olderIgnored.Inc()
-	case VerdictSplit:
-		a.split(h.ref)
-	case VerdictNewer:
-		a.want(h, known)
-		a.pullWanted(t, a.jitter(pullJitter))
-	case VerdictSame:
+	case RelationConflict:
+		a.reportConflict(ann.ref)
+	case RelationNewer:
+		a.setTarget(ann, targetHead)
+		a.startPull(t, a.jitter(pullJitter))
+	case RelationSame:
 	}
 }
 
-// want keeps the highest configuration heard of. A hint with the manifest
-// beats one without.
-func (a *Agent) want(h hint, known *head) {
+// setTarget makes the announced configuration the pull target if it is the
+// highest so far, or adds its head object or peer address to the present target.
+func (a *Agent) setTarget(ann announcement, targetHead *head) {
 	switch {
-	case h.ref.Generation > a.pull.wanted.ref.Generation:
-		a.pull.wanted, a.pull.known, a.pull.failures = h, known, 0
-	case h.ref == a.pull.wanted.ref && known != nil:
-		a.pull.known = known
-	case h.ref == a.pull.wanted.ref && h.from != "":
-		a.pull.wanted.from = h.from
+	case ann.ref.Generation > a.pull.target.ref.Generation:
+		a.pull.target, a.pull.targetHead, a.pull.failures = ann, targetHead, 0
+	case ann.ref == a.pull.target.ref && targetHead != nil:
+		a.pull.targetHead = targetHead
+	case ann.ref == a.pull.target.ref && ann.from != "":
+		a.pull.target.from = ann.from
 	}
 }
 
-// pullWanted starts a pull unless one is running; its end starts the next.
-func (a *Agent) pullWanted(t *tasks, after time.Duration) {
-	if a.pull.running || a.core.Judge(a.pull.wanted.ref) != VerdictNewer {
+// startPull starts a pull of the target unless one is running. The end of a
+// pull starts the next if the target is still newer.
+func (a *Agent) startPull(t *tasks, after time.Duration) {
+	if a.pull.running || a.active.Compare(a.pull.target.ref) != RelationNewer {
 		return
 	}
 	a.pull.running = true
@@ -177,35 +181,32 @@
 	})
 }
 
-func (e pulled) apply(a *Agent, t *tasks) {
+func (e pullResult) apply(a *Agent, t *tasks) {
 	a.pull.running = false
 	switch {
 	case e.refusal != notRefused:
 		a.refuse(e)
 	case e.err != nil:
-		a.pullFailed(e)
+		a.handlePullFailure(e)
 	default:
 		a.pull.failures = 0
 		a.applyCandidate(t, e.candidate)
 	}
-	a.pullWanted(t, a.pullBackoff())
+	a.startPull(t, a.pullBackoff())
 }
 
-// pullFailed prepares the next try, or gives up.
-//
-// Guard against word of a configuration that nobody has: a host that died
-// with the news, or a faulty peer. The pull would go on for good, keep a
-// starting host from serving and hold back pulls of what does exist. After
-// pullTries it is forgotten; whoever has it will name it again.
-func (a *Agent) pullFailed(e pulled) {
+// handlePullFailure prepares the next attempt. After too many failures it drops
+// the target: a configuration that no reachable host has must not block other
+// pulls or the startup of this host. A host that has it announces it again.
+func (a *Agent) handlePullFailure(e pullResult) {
 	a.metrics.pullsFailed.Inc()
 	a.pull.failures++
-	a.pull.wanted.from = "" // it was tried; the next pull draws another
+	a.pull.target.from = "" // the next pull picks another peer
 	if len(e.partial) > 0 && e.partial.Bytes() <= bundle.MaxBundleBytes {
 		a.pull.partial = e.partial
 	}
-	if a.pull.failures >= pullTries {
-		a.start.Withdraw(a.pull.wanted.ref)
+	if a.pull.failures >= maxPullFailures {
+		a.startup.Discard(a.pull.target.ref)
 		a.pull = pullState{}
 	}
 }
@@ -214,89 +215,90 @@
 	if a.pull.failures == 0 {
 		return 0
 	}
-	d := pullFirstBackoff << min(a.pull.failures-1, 10)
-	return a.around(min(d, pullLastBackoff))
+	d := pullMinBackoff << min(a.pull.failures-1, 10)
+	return a.withJitter(min(d, pullMaxBackoff))
 }
 
 func (a *Agent) applyCandidate(t *tasks, c *candidate) {
-	switch a.core.Apply(c.ref) {
-	case VerdictNewer:
-	case VerdictSplit:
-		a.split(c.ref)
+	switch a.active.Apply(c.ref) {
+	case RelationNewer:
+	case RelationConflict:
+		a.reportConflict(c.ref)
 		return
 	default:
 		a.metrics.olderIgnored.Inc()
 		return
 	}
 	a.alarm.Store(nil)
-	before := a.published.Load()
-	next := &published{
+	before := a.snapshot.Load()
+	next := &snapshot{
 		ref: c.ref, signed: c.raw, parts: c.manifest.Parts, contents: c.contents, config: c.config,
 	}
 	if before != nil {
 		next.recent = append([]recentParts{{before.ref, before.parts}}, before.recent...)
-		next.recent = next.recent[:min(len(next.recent), recentKept)]
+		next.recent = next.recent[:min(len(next.recent), maxRecentConfigs)]
 		if c.manifest.Parent.Generation == before.ref.Generation && c.manifest.Parent.Hash != before.ref.Hash {
-			// Two contents of one generation existed. The higher generation
-			// ends it, but its operators should know.
-			a.split(c.manifest.Parent)
+			// Conflicting contents of the parent generation existed. The new
+			// generation resolves that, but operators should know.
+			a.reportConflict(c.manifest.Parent)
 		}
 	}
-	a.published.Store(next)
+	a.snapshot.Store(next)
 	a.metrics.applied(c.ref.Generation)
 	a.logger.Info("configuration in force",
 		zap.Uint64("generation", c.ref.Generation), zap.Stringer("manifest", c.ref.Hash),
 		zap.String("author", c.manifest.Author), zap.String("reason", c.manifest.Reason))
-	a.becomeReady()
+	a.publishWhenReady()
 	if a.ready.Load() != nil {
-		a.notify(t)
+		a.notifyPeers(t)
 	}
 }
 
-// becomeReady publishes the configuration in force once the host may serve.
-func (a *Agent) becomeReady() {
-	p := a.published.Load()
-	if p == nil || a.ready.Load() == p.config || !a.start.Ready(p.ref) {
+// publishWhenReady hands out the active configuration once the host may serve.
+func (a *Agent) publishWhenReady() {
+	p := a.snapshot.Load()
+	if p == nil || a.ready.Load() == p.config || !a.startup.Ready(p.ref) {
 		return
 	}
 	first := a.ready.Load() == nil
 	a.ready.Store(p.config)
 	if first {
-		a.logger.Info("host has its configuration", zap.Uint64("generation", p.ref.Generation))
+		a.logger.Info("host is ready to serve with its first configuration", zap.Uint64("generation", p.ref.Generation))
 	}
 	if a.config.OnApplied != nil {
 		a.config.OnApplied(p.config)
 	}
 }
 
-// refuse drops a bundle that fails the checks; the last good one stays in
-// force, and the alarm says so.
-func (a *Agent) refuse(e pulled) {
+// refuse drops a bundle that failed verification and raises an alarm. The
+// active configuration stays.
+func (a *Agent) refuse(e pullResult) {
 	if e.refusal == refusedContent {
 		a.refused.add(e.ref)
 	}
-	a.start.Withdraw(e.ref)
-	if a.pull.wanted.ref == e.ref {
+	a.startup.Discard(e.ref)
+	if a.pull.target.ref == e.ref {
 		a.pull = pullState{}
 	}
 	a.metrics.refused.Inc()
-	a.raise("refused generation " + e.ref.String() + ", kept " + a.core.InForce().String() + ": " + e.err.Error())
+	a.raiseAlarm("refused generation " + e.ref.String() + ", kept " + a.active.Current().String() + ": " + e.err.Error())
 }
 
-// split alarms once for each second content of a generation.
-func (a *Agent) split(ref bundle.Ref) {
+// reportConflict raises an alarm, once for each reference, about a generation
+// that exists with different content.
+func (a *Agent) reportConflict(ref bundle.Ref) {
 	if a.refused.has(ref) {
 		return
 	}
 	a.refused.add(ref)
-	a.metrics.split.Inc()
-	a.raise("generation " + ref.String() + " exists with other content than " + a.core.InForce().String() + ", which stays in force")
+	a.metrics.conflicts.Inc()
+	a.raiseAlarm("generation " + ref.String() + " exists with other content than " + a.active.Current().String() + ", which stays in force")
 }
 
-func (a *Agent) raise(text string) {
+func (a *Agent) raiseAlarm(text string) {
 	if a.Alarm() == text {
 		return
 	}
 	a.alarm.Store(&text)
-	a.logger.Error("configuration needs an operator", zap.String("alarm", text))
+	a.logger.Error("configuration alarm raised", zap.String("alarm", text))
 }
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -12,10 +12,10 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// callStore makes one call to the store with a deadline, within the host's
-// rate, and notes that the store answered.
-func (a *Agent) callStore(ctx context.Context, limit *rate.Limiter, name string, timeout time.Duration, call func(context.Context) error) error {
-	if err := limit.Wait(ctx); err != nil {
+// callStore makes one rate-limited call to the store with a timeout, and
+// records when the store answers.
+func (a *Agent) callStore(ctx context.Context, limiter *rate.Limiter, name string, timeout time.Duration, call func(context.Context) error) error {
+	if err := limiter.Wait(ctx); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -23,7 +23,7 @@
 	a.metrics.storeCalls.WithLabelValues(name).Inc()
 	err := call(ctx)
 	if err == nil || errors.Is(err, metastore.ErrNotFound) {
-		a.storeHeardAt.Store(a.config.Now().UnixNano())
+		a.lastStoreReply.Store(a.config.Now().UnixNano())
 	}
 	return err
 }
@@ -31,7 +31,7 @@
 // readStoreHead reads the head and the revision to watch from.
 func (a *Agent) readStoreHead(ctx context.Context) (head, metastore.Revision, error) {
 	var object metastore.Object
-	err := a.callStore(ctx, a.storeLimit, "get_head", storeTimeout, func(ctx context.Context) (err error) {
+	err := a.callStore(ctx, a.storeLimiter, "get_head", storeTimeout, func(ctx context.Context) (err error) {
 		object, err = a.config.Store.Get(ctx, HeadKey)
 		return err
 	})
@@ -44,72 +44,73 @@
 
 func (a *Agent) readStoreDocument(ctx context.Context, hash bundle.Hash) ([]byte, error) {
 	var object metastore.Object
-	err := a.callStore(ctx, a.documentLimit, "get_document", storeTimeout, func(ctx context.Context) (err error) {
+	err := a.callStore(ctx, a.documentLimiter, "get_document", storeTimeout, func(ctx context.Context) (err error) {
 		object, err = a.config.Store.Get(ctx, documentKey(hash))
 		return err
 	})
 	return object.Value, errors.Wrapf(err, "read document %s", hash.Short())
 }
 
-// askStore lets a starting host read the head, whether it is a watcher or not.
-// One failure settles it: peers then have to know. It goes on until something
-// is in force, since with the peers gone the store is the only source.
-func (a *Agent) askStore(ctx context.Context) {
-	wait := newBackoff(storeFirstBackoff, storeLastBackoff)
+// queryStoreAtStartup reads the head at startup on every host, watcher or not.
+// The first attempt, failed or not, marks the store as done; reads continue
+// until a configuration is active, since the peers may be unreachable.
+func (a *Agent) queryStoreAtStartup(ctx context.Context) {
+	wait := newBackoff(storeMinBackoff, storeMaxBackoff)
 	for {
 		value, _, err := a.readStoreHead(ctx)
 		if err == nil {
 			a.post(ctx, headRead{head: value, found: true})
 		}
-		a.post(ctx, settled{SourceStore})
+		a.post(ctx, sourceDone{SourceStore})
 		if pause(ctx, wait.NextBackOff()) != nil || !a.InForce().IsZero() {
 			return
 		}
 	}
 }
 
-// followStore watches the store while the host is a watcher.
+// followStore watches the store whenever the host is a watcher.
 func (a *Agent) followStore(ctx context.Context) {
 	for {
 		if a.config.IsWatcher() {
-			a.watchWhile(ctx)
+			a.watchWhileWatcher(ctx)
 		}
-		if pause(ctx, a.around(watcherCheck)) != nil {
+		if pause(ctx, a.withJitter(watcherCheckInterval)) != nil {
 			return
 		}
 	}
 }
 
-// watchWhile runs heartbeat and watch until the host is no watcher any more.
-func (a *Agent) watchWhile(ctx context.Context) {
+// watchWhileWatcher runs the heartbeat and the watch until the host stops being
+// a watcher.
+func (a *Agent) watchWhileWatcher(ctx context.Context) {
 	a.logger.Info("watching the store")
 	t := newTasks(ctx)
 	defer t.stop()
 	t.run(a.heartbeat)
 	t.run(a.watch)
 	for a.config.IsWatcher() {
-		if pause(ctx, a.around(watcherCheck)) != nil {
+		if pause(ctx, a.withJitter(watcherCheckInterval)) != nil {
 			return
 		}
 	}
 	a.logger.Info("no longer watching the store")
 }
 
-// heartbeat asks the store from time to time; see storeHeartbeat.
+// heartbeat polls the store to find changes that a stalled watch missed.
 func (a *Agent) heartbeat(ctx context.Context) {
-	wait := newBackoff(storeFirstBackoff, storeLastBackoff)
-	silent := false
+	wait := newBackoff(storeMinBackoff, storeMaxBackoff)
+	unreachable := false
 	for beat := 1; ; beat++ {
-		err := a.beat(ctx, beat%headEvery == 0)
+		err := a.beat(ctx, beat%heartbeatsPerHeadRead == 0)
 		if ctx.Err() != nil {
 			return
 		}
-		if silent != (err != nil) {
-			silent = err != nil
-			a.logStore(silent, err)
+		if unreachable != (err != nil) {
+			unreachable = err != nil
+			a.logStoreReachability(unreachable, err)
 		}
-		next := a.around(storeHeartbeat)
-		if silent {
+		next := a.withJitter(storeHeartbeatInterval)
+		if unreachable {
 			next = wait.NextBackOff()
 		} else {
 			wait.Reset()
@@ -120,11 +121,11 @@
 	}
 }
 
-// beat reads the ref, and the head if the ref names a higher generation. The
-// watch has usually brought that already.
+// beat reads the ref object, and the head if wantHead is set or the ref names a
+// higher generation than the active one.
 func (a *Agent) beat(ctx context.Context, wantHead bool) error {
 	var ref bundle.Ref
-	err := a.callStore(ctx, a.storeLimit, "get_ref", storeTimeout, func(ctx context.Context) (err error) {
+	err := a.callStore(ctx, a.storeLimiter, "get_ref", storeTimeout, func(ctx context.Context) (err error) {
 		ref, _, err = readRef(ctx, a.config.Store)
 		return err
 	})
@@ -141,17 +142,17 @@
 	return err
 }
 
-func (a *Agent) logStore(silent bool, err error) {
-	if silent {
-		a.logger.Warn("store does not answer; the configuration in force stays", zap.Error(err))
+func (a *Agent) logStoreReachability(unreachable bool, err error) {
+	if unreachable {
+		a.logger.Warn("store unreachable; keeping the active configuration", zap.Error(err))
 		return
 	}
-	a.logger.Info("store answers again")
+	a.logger.Info("store reachable again")
 }
 
-// watch waits for changes of the head, which arrive whole in its replies.
+// watch long-polls the store for changes of the head object.
 func (a *Agent) watch(ctx context.Context) {
-	wait := newBackoff(storeFirstBackoff, storeLastBackoff)
+	wait := newBackoff(storeMinBackoff, storeMaxBackoff)
 	after := metastore.Revision(0)
 	for {
 		changed, next, err := a.watchOnce(ctx, after)
@@ -161,9 +162,9 @@
 		case err == nil:
 			wait.Reset()
 			after = max(after, next)
-			a.takeChanged(ctx, changed)
+			a.postHeads(ctx, changed)
 		case errors.Is(err, context.DeadlineExceeded):
-			wait.Reset() // nothing changed in watchWait
+			wait.Reset() // no change before the watch timed out
 		default:
 			if pause(ctx, wait.NextBackOff()) != nil {
 				return
@@ -173,14 +174,14 @@
 }
 
 func (a *Agent) watchOnce(ctx context.Context, after metastore.Revision) (changed []metastore.Object, next metastore.Revision, err error) {
-	err = a.callStore(ctx, a.storeLimit, "watch", watchWait, func(ctx context.Context) (err error) {
+	err = a.callStore(ctx, a.storeLimiter, "watch", watchTimeout, func(ctx context.Context) (err error) {
 		changed, next, err = a.config.Store.Watch(ctx, HeadKey, after)
 		return err
 	})
 	return changed, next, err
 }
 
-func (a *Agent) takeChanged(ctx context.Context, changed []metastore.Object) {
+func (a *Agent) postHeads(ctx context.Context, changed []metastore.Object) {
 	for _, object := range changed {
 		if object.Key != HeadKey {
 			continue
--- a/rollout/head.go
+++ b/rollout/head.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// HeadKey is the object that names the accepted configuration.
+	// HeadKey is the key of the head object, which holds the accepted
+	// configuration's signed manifest.
 	HeadKey = "config/head"
-	// refKey repeats which configuration the head names, in a few bytes. It is
-	// written after the head moved and is a hint only: watchers read it as a
-	// heartbeat, and the head when it names a higher generation.
+	// refKey is the key of a small object with the head's reference. It is
+	// updated after the head and may lag behind it. Heartbeats read it instead
+	// of the much larger head.
 	refKey          = "config/ref"
 	manifestsPrefix = "config/manifests/"
 	documentsPrefix = "config/documents/"
-	// headDocumentsBytes bounds the changed documents that ride in the head
-	// object. In JSON they grow by a third, and with the largest manifest
-	// still fit in a value of the platform.
-	headDocumentsBytes = 256 << 10
+	// maxHeadDocumentBytes bounds the changed documents in the head object.
+	// Base64 adds a third; with the largest manifest the object still stays
+	// below metastore.MaxValueBytes.
+	maxHeadDocumentBytes = 256 << 10
 )
 
-// manifestKey holds the hash, so that a store that was set back, where a
-// generation is accepted a second time, keeps both in its history.
+// manifestKey includes the hash: in a store that was restored from a backup a
+// generation may be accepted twice, and the history keeps both manifests.
 func manifestKey(ref bundle.Ref) string { return generationPrefix(ref.Generation) + ref.Hash.String() }
 
 func generationPrefix(generation uint64) string {
@@ -36,9 +37,9 @@
 
 func documentKey(hash bundle.Hash) string { return documentsPrefix + hash.String() }
 
-// head is the value of the head object. The documents that differ from the
-// parent ride along: a watcher has all of the change with the one reply of
-// its watch, also when the store goes down right after.
+// head is the value of the head object. It includes the documents that differ
+// from the parent, so that one watch reply delivers the whole change even if
+// the store goes down right after it.
 type head struct {
 	Signed    bundle.Signed `json:"signed"`
 	Documents [][]byte      `json:"documents,omitempty"`
@@ -46,7 +47,7 @@
 
 func encodeHead(signed bundle.Signed, changed bundle.Contents, order []bundle.Hash) ([]byte, error) {
 	value := head{Signed: signed}
-	if changed.Bytes() <= headDocumentsBytes {
+	if changed.Bytes() <= maxHeadDocumentBytes {
 		for _, hash := range order {
 			if content, ok := changed[hash]; ok {
 				value.Documents = append(value.Documents, content)
@@ -57,14 +58,14 @@
 	return raw, errors.Wrap(err, "encode head")
 }
 
-// decodeHead reads a head object. It checks no signature.
+// decodeHead decodes a head object without verifying its signatures.
 func decodeHead(raw []byte) (head, error) {
 	if len(raw) > metastore.MaxValueBytes {
-		return head{}, errors.Errorf("head of %d bytes is over the platform's limit", len(raw))
+		return head{}, errors.Errorf("head object of %d bytes exceeds the platform's limit", len(raw))
 	}
 	var value head
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return head{}, errors.Wrap(err, "head object")
+		return head{}, errors.Wrap(err, "decode head object")
 	}
 	return value, nil
 }
@@ -77,7 +78,8 @@
 	return contents
 }
 
-// refOf names a signed manifest without checking its sign-offs.
+// refOf decodes a signed manifest and its reference without verifying the
+// signatures.
 func refOf(signed bundle.Signed) (bundle.Ref, bundle.Manifest, error) {
 	m, err := signed.Manifest()
 	if err != nil {
@@ -86,7 +88,8 @@
 	return bundle.Ref{Generation: m.Generation, Hash: signed.Hash()}, m, nil
 }
 
-// acceptedHead is the head object as operators' commands read it.
+// acceptedHead is the decoded head object with its version, as the operators'
+// commands use it.
 type acceptedHead struct {
 	ref      bundle.Ref
 	manifest bundle.Manifest
@@ -95,7 +98,7 @@
 	version  uint64
 }
 
-// readHead reads the head; a store without one gives the zero head.
+// readHead reads the head object; it returns the zero value if there is none.
 func readHead(ctx context.Context, store metastore.Store) (acceptedHead, error) {
 	object, err := store.Get(ctx, HeadKey)
 	if errors.Is(err, metastore.ErrNotFound) {
@@ -110,12 +113,12 @@
 	}
 	ref, manifest, err := refOf(value.Signed)
 	if err != nil {
-		return acceptedHead{}, errors.Wrap(err, "head object")
+		return acceptedHead{}, errors.Wrap(err, "decode manifest of head")
 	}
 	return acceptedHead{ref, manifest, value.Signed, value.contents(), object.Version}, nil
 }
 
-// readManifest reads an accepted manifest from the head or the history.
+// readManifest reads an accepted manifest from the head or from the history.
 func readManifest(ctx context.Context, store metastore.Store, current acceptedHead, ref bundle.Ref) (bundle.Signed, error) {
 	if ref == current.ref {
 		return current.signed, nil
@@ -127,21 +130,22 @@
 	return bundle.DecodeSigned(object.Value)
 }
 
-// findManifest reads an accepted manifest by its generation alone.
+// findManifest looks up an accepted manifest by its generation.
 func findManifest(ctx context.Context, store metastore.Store, generation uint64) (bundle.Signed, error) {
 	objects, _, err := store.List(ctx, generationPrefix(generation))
 	switch {
 	case err != nil:
 		return bundle.Signed{}, errors.Wrapf(err, "read manifest of generation %d", generation)
 	case len(objects) == 0:
-		return bundle.Signed{}, errors.Errorf("generation %d was never accepted; name one of bundle history", generation)
+		return bundle.Signed{}, errors.Errorf("generation %d was never accepted; choose one listed by bundle history", generation)
 	case len(objects) > 1:
-		return bundle.Signed{}, errors.Errorf("generation %d was accepted %d times, in a store that was set back; sign the documents themselves", generation, len(objects))
+		return bundle.Signed{}, errors.Errorf("generation %d was accepted %d times because the store was restored from a backup; sign the documents themselves", generation, len(objects))
 	}
 	return bundle.DecodeSigned(objects[0].Value)
 }
 
-// readDocuments adds the documents of the parts that contents lacks.
+// readDocuments adds to contents the documents that parts names and contents
+// lacks.
 func readDocuments(ctx context.Context, store metastore.Store, parts bundle.Parts, contents bundle.Contents) error {
 	for _, hash := range parts.Missing(contents) {
 		object, err := store.Get(ctx, documentKey(hash))
@@ -149,14 +153,14 @@
 			return errors.Wrapf(err, "read document %s", hash.Short())
 		}
 		if bundle.HashOf(object.Value) != hash {
-			return errors.Errorf("document %s in the store has other content", hash.Short())
+			return errors.Errorf("document %s in the store does not match its hash", hash.Short())
 		}
 		contents[hash] = object.Value
 	}
 	return nil
 }
 
-// readRef reads the hint; zero: there is none.
+// readRef reads the ref object and its version; both are zero if there is none.
 func readRef(ctx context.Context, store metastore.Store) (bundle.Ref, uint64, error) {
 	object, err := store.Get(ctx, refKey)
 	if errors.Is(err, metastore.ErrNotFound) {
@@ -167,13 +171,13 @@
 	}
 	var ref bundle.Ref
 	err = json.Unmarshal(object.Value, &ref)
-	return ref, object.Version, errors.Wrap(err, "ref object")
+	return ref, object.Version, errors.Wrap(err, "decode ref object")
 }
 
-// writeRef writes the hint unless it names a generation that is as high.
+// writeRef updates the ref object unless it has the same or a higher generation.
 func writeRef(ctx context.Context, store metastore.Store, ref bundle.Ref) error {
-	there, version, err := readRef(ctx, store)
-	if err != nil || there.Generation >= ref.Generation {
+	stored, version, err := readRef(ctx, store)
+	if err != nil || stored.Generation >= ref.Generation {
 		return err
 	}
 	raw, err := json.Marshal(ref)
--- a/rollout/operators.go
+++ b/rollout/operators.go
@@ -10,7 +10,7 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// Accepted is one accepted generation in the history.
+// Accepted is one entry of the history of accepted generations.
 type Accepted struct {
 	Ref      bundle.Ref  `json:"ref"`
 	Parent   bundle.Ref  `json:"parent"`
@@ -21,8 +21,8 @@
 	Restores *bundle.Ref `json:"restores,omitempty"`
 }
 
-// Current reads the accepted configuration; a store without one gives a zero
-// Ref and empty documents.
+// Current reads the accepted configuration. It returns a zero Ref and empty
+// documents if there is none.
 func Current(ctx context.Context, store metastore.Store) (bundle.Ref, bundle.Parts, bundle.Documents, error) {
 	current, err := readHead(ctx, store)
 	if err != nil || current.ref.IsZero() {
@@ -32,7 +32,7 @@
 	return current.ref, current.manifest.Parts, docs, err
 }
 
-// Propose makes an unsigned change of the accepted configuration.
+// Propose returns an unsigned change from the accepted configuration to docs.
 func Propose(ctx context.Context, store metastore.Store, docs bundle.Documents, p bundle.Proposal) (bundle.Change, error) {
 	current, err := readHead(ctx, store)
 	if err != nil {
@@ -41,15 +41,16 @@
 	return bundle.Propose(current.ref, current.manifest.Parts, docs, p)
 }
 
-// Rollback makes an unsigned change that restores an earlier generation: a new
-// generation that names it. It needs sign-offs and Submit like any other.
+// Rollback returns an unsigned change that restores the content of an earlier
+// generation as a new generation. It must be signed and submitted like any
+// other change.
 func Rollback(ctx context.Context, store metastore.Store, to uint64, p bundle.Proposal) (bundle.Change, error) {
 	current, err := readHead(ctx, store)
 	if err != nil {
 		return bundle.Change{}, err
 	}
 	if to == 0 || to >= current.ref.Generation {
-		return bundle.Change{}, errors.Errorf("generation %d can't be restored: the one in force is %s; name an earlier one of bundle history", to, current.ref)
+		return bundle.Change{}, errors.Errorf("generation %d can't be restored: the accepted one is %s; choose an earlier one listed by bundle history", to, current.ref)
 	}
 	signed, err := findManifest(ctx, store, to)
 	if err != nil {
@@ -76,10 +77,10 @@
 		return bundle.Change{}, err
 	}
 	_, _, err = change.Open()
-	return change, errors.Wrapf(err, "generation %d no longer passes the checks", to)
+	return change, errors.Wrapf(err, "generation %d no longer passes validation", to)
 }
 
-// History reads the newest accepted generations, at most limit, newest first.
+// History reads up to limit accepted generations, newest first.
 func History(ctx context.Context, store metastore.Store, limit int) ([]Accepted, error) {
 	current, err := readHead(ctx, store)
 	if err != nil || current.ref.IsZero() {
@@ -92,7 +93,7 @@
 		if err != nil {
 			return accepted, err
 		}
-		accepted = append(accepted, acceptedOf(ref, m, signed))
+		accepted = append(accepted, newAccepted(ref, m, signed))
 		if m.Parent.IsZero() {
 			break
 		}
@@ -103,7 +104,7 @@
 	return accepted, nil
 }
 
-func acceptedOf(ref bundle.Ref, m bundle.Manifest, signed bundle.Signed) Accepted {
+func newAccepted(ref bundle.Ref, m bundle.Manifest, signed bundle.Signed) Accepted {
 	a := Accepted{
 		Ref: ref, Parent: m.Parent, Author: m.Author, Reason: m.Reason,
 		Created: m.Created, Restores: m.Restores,
--- a/rollout/peers.go
+++ b/rollout/peers.go
@@ -14,17 +14,17 @@
 	return rolloutpb.NewDRPCRolloutClient(a.config.Peers.Conn(ctx, address))
 }
 
-// anyPeer draws a peer; empty: none is known.
-func (a *Agent) anyPeer() string {
-	addresses := a.somePeers(1)
+// randomPeer returns a random peer address, or "" if no peer is known.
+func (a *Agent) randomPeer() string {
+	addresses := a.randomPeers(1)
 	if len(addresses) == 0 {
 		return ""
 	}
 	return addresses[0]
 }
 
-// somePeers draws up to n different peers.
-func (a *Agent) somePeers(n int) []string {
+// randomPeers returns up to n distinct random peer addresses.
+func (a *Agent) randomPeers(n int) []string {
 	addresses := append([]string(nil), a.config.PeersFn()...)
 	n = min(n, len(addresses))
 	for i := range n {
@@ -34,16 +34,17 @@
 	return addresses[:n]
 }
 
-// notify tells a few peers what has come in force here.
-func (a *Agent) notify(t *tasks) {
+// notifyPeers announces the active configuration to a few random peers.
+func (a *Agent) notifyPeers(t *tasks) {
 	ref := a.InForce()
-	for _, address := range a.somePeers(notifyFanout) {
-		t.run(func(ctx context.Context) { _ = a.exchange(ctx, address, ref) })
+	for _, address := range a.randomPeers(notifyFanout) {
+		t.run(func(ctx context.Context) { _ = a.exchangeRefs(ctx, address, ref) })
 	}
 }
 
-// exchange tells one peer what is in force here and hears what is there.
-func (a *Agent) exchange(ctx context.Context, address string, ref bundle.Ref) error {
+// exchangeRefs announces the active configuration to a peer and handles the
+// peer's own in the reply.
+func (a *Agent) exchangeRefs(ctx context.Context, address string, ref bundle.Ref) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	request := &rolloutpb.NotifyRequest{Address: a.config.Address}
@@ -61,38 +62,39 @@
 	if err != nil {
 		return err
 	}
-	there := bundle.Ref{Generation: reply.GetGeneration(), Hash: hash}
-	if there != ref {
-		a.post(ctx, peerNamed{hint{ref: there, from: address}})
+	theirs := bundle.Ref{Generation: reply.GetGeneration(), Hash: hash}
+	if theirs != ref {
+		a.post(ctx, peerReply{announcement{ref: theirs, from: address}})
 	}
 	return nil
 }
 
-// peerNamed is a peer's answer that must not be dropped, as news may be.
-type peerNamed struct{ hint }
+// peerReply is a peer's configuration from a reply. It is an event because
+// announcements may be dropped.
+type peerReply struct{ announcement }
 
-func (e peerNamed) apply(a *Agent, t *tasks) {
-	a.consider(t, e.hint, nil)
+func (e peerReply) apply(a *Agent, t *tasks) {
+	a.handleAnnouncement(t, e.announcement, nil)
 }
 
-// askPeers lets a starting host hear from a few peers what they have in force.
-func (a *Agent) askPeers(ctx context.Context) {
-	addresses := a.startAddresses(ctx)
+// queryPeersAtStartup queries a few peers for their active configurations.
+func (a *Agent) queryPeersAtStartup(ctx context.Context) {
+	addresses := a.waitForPeers(ctx)
 	if len(addresses) == 0 {
-		a.post(ctx, settled{SourcePeers})
+		a.post(ctx, sourceDone{SourcePeers})
 		return
 	}
 	answers := make(chan error, len(addresses))
 	for _, address := range addresses {
-		go func() { answers <- a.exchangeAtStart(ctx, address) }()
+		go func() { answers <- a.queryPeerAtStartup(ctx, address) }()
 	}
 	for range addresses {
 		<-answers
 	}
-	a.post(ctx, settled{SourcePeers})
+	a.post(ctx, sourceDone{SourcePeers})
 }
 
-func (a *Agent) exchangeAtStart(ctx context.Context, address string) error {
+func (a *Agent) queryPeerAtStartup(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	reply, err := a.client(ctx, address).Notify(ctx, &rolloutpb.NotifyRequest{Address: a.config.Address})
@@ -103,28 +105,29 @@
 	if err != nil {
 		return err
 	}
-	a.post(ctx, peerNamedAtStart{hint{ref: bundle.Ref{Generation: reply.GetGeneration(), Hash: hash}, from: address}})
+	a.post(ctx, startupPeerReply{announcement{ref: bundle.Ref{Generation: reply.GetGeneration(), Hash: hash}, from: address}})
 	return nil
 }
 
-// peerNamedAtStart holds the host unready until what the peer has is in force.
-type peerNamedAtStart struct{ hint }
+// startupPeerReply is a peer's configuration from a reply at startup. The host
+// is not ready until that configuration, or a higher one, is active.
+type startupPeerReply struct{ announcement }
 
-func (e peerNamedAtStart) apply(a *Agent, t *tasks) {
+func (e startupPeerReply) apply(a *Agent, t *tasks) {
 	if !a.refused.has(e.ref) {
-		a.start.Named(e.ref)
+		a.startup.Observe(e.ref)
 	}
-	a.consider(t, e.hint, nil)
+	a.handleAnnouncement(t, e.announcement, nil)
 }
 
-// startAddresses waits a moment for membership to know a peer.
-func (a *Agent) startAddresses(ctx context.Context) []string {
+// waitForPeers waits briefly for membership to learn of a peer.
+func (a *Agent) waitForPeers(ctx context.Context) []string {
 	const steps = 10
 	for range steps {
-		if addresses := a.somePeers(startPeers); len(addresses) > 0 {
+		if addresses := a.randomPeers(startupPeers); len(addresses) > 0 {
 			return addresses
 		}
-		if pause(ctx, startPeersWait/steps) != nil {
+		if pause(ctx, startupPeersTimeout/steps) != nil {
 			return nil
 		}
 	}
--- a/rollout/pull.go
+++ b/rollout/pull.go
@@ -9,139 +9,140 @@
 	"github.com/goldcrestspan/goldcrestspan/rollout/rolloutpb"
 )
 
-// errNotNewer: a peer was asked and had nothing newer.
-var errNotNewer = errors.New("peer has nothing newer")
+var errNotNewer = errors.New("peer has no newer configuration")
 
-// puller gets one configuration: manifest, then the documents that differ. It
-// runs beside the control goroutine and changes none of the agent's state.
+// puller fetches one configuration: its manifest, then the documents that the
+// host lacks. It runs outside the control loop and doesn't change agent state.
 type puller struct {
-	agent *Agent
-	have  *published
-	known *head
-	// address is a peer that should have it; empty: none is known.
+	agent      *Agent
+	active     *snapshot
+	targetHead *head
+	// address is the peer to pull from; empty if no peer is known.
 	address string
-	// documentsInStore and headInStore allow reading these from the store.
-	documentsInStore bool
-	headInStore      bool
-	contents         bundle.Contents
+	// useStoreDocuments and useStoreHead permit reads of these from the store.
+	useStoreDocuments bool
+	useStoreHead      bool
+	contents          bundle.Contents
 }
 
 func (a *Agent) newPuller(state pullState) *puller {
 	p := &puller{
-		agent: a, have: a.published.Load(), known: state.known,
-		address: state.wanted.from, contents: state.partial,
-		// A watcher reads the store anyway. Other hosts leave it alone while
-		// there are peers: all of a zone would turn to it at once.
-		documentsInStore: a.config.IsWatcher() || state.failures >= pullsBeforeStore,
-		headInStore:      state.failures >= pullsBeforeStore,
+		agent: a, active: a.snapshot.Load(), targetHead: state.targetHead,
+		address: state.target.from, contents: state.partial,
+		// Hosts that aren't watchers read the store only after pulls from
+		// peers failed, so that a zone doesn't query it all at once.
+		useStoreDocuments: a.config.IsWatcher() || state.failures >= pullFailuresBeforeStore,
+		useStoreHead:      state.failures >= pullFailuresBeforeStore,
 	}
 	if p.contents == nil {
 		p.contents = make(bundle.Contents)
 	}
 	if p.address == "" {
-		p.address = a.anyPeer()
+		p.address = a.randomPeer()
 	}
 	return p
 }
 
-func (p *puller) run(ctx context.Context) pulled {
-	signed, err := p.manifest(ctx)
+func (p *puller) run(ctx context.Context) pullResult {
+	signed, err := p.fetchManifest(ctx)
 	if err != nil {
 		return p.failed(err)
 	}
-	return p.complete(ctx, signed)
+	return p.fetchDocumentsAndVerify(ctx, signed)
 }
 
-func (p *puller) failed(err error) pulled { return pulled{err: err, partial: p.contents} }
+func (p *puller) failed(err error) pullResult { return pullResult{err: err, partial: p.contents} }
 
-// complete checks the sign-offs before it asks for a single document.
-func (p *puller) complete(ctx context.Context, signed bundle.Signed) pulled {
+// fetchDocumentsAndVerify verifies the signatures, then fetches the documents and
+// validates them.
+func (p *puller) fetchDocumentsAndVerify(ctx context.Context, signed bundle.Signed) pullResult {
 	ref, _, err := refOf(signed)
 	if err != nil {
-		return p.failed(errors.Wrap(err, "unreadable manifest"))
+		return p.failed(errors.Wrap(err, "decode manifest"))
 	}
-	if p.have != nil && ref.Generation <= p.have.ref.Generation {
+	if p.active != nil && ref.Generation <= p.active.ref.Generation {
 		return p.failed(errNotNewer)
 	}
 	manifest, err := p.agent.config.Signers.Verify(signed)
 	if err != nil {
-		return pulled{refusal: refusedSignOffs, ref: ref, err: err}
+		return pullResult{refusal: refusedSignatures, ref: ref, err: err}
 	}
-	if err := p.documents(ctx, manifest.Parts); err != nil {
+	if err := p.fetchDocuments(ctx, manifest.Parts); err != nil {
 		return p.failed(err)
 	}
 	config, _, err := bundle.Open(manifest, p.contents)
 	if err != nil {
-		return pulled{refusal: refusedContent, ref: ref, err: err}
+		return pullResult{refusal: refusedContent, ref: ref, err: err}
 	}
 	raw, err := signed.Encode()
 	if err != nil {
-		return pulled{refusal: refusedContent, ref: ref, err: err}
+		return pullResult{refusal: refusedContent, ref: ref, err: err}
 	}
-	return pulled{ref: ref, candidate: &candidate{
-		ref: ref, raw: raw, manifest: manifest, contents: p.only(manifest.Parts), config: config,
+	return pullResult{ref: ref, candidate: &candidate{
+		ref: ref, raw: raw, manifest: manifest, contents: p.referencedContents(manifest.Parts), config: config,
 	}}
 }
 
-// manifest gets the signed manifest from the peer, or from the store.
-func (p *puller) manifest(ctx context.Context) (bundle.Signed, error) {
-	if p.known != nil {
-		p.take(p.known.contents())
-		return p.known.Signed, nil
+// fetchManifest fetches the signed manifest from the peer, or from the store.
+func (p *puller) fetchManifest(ctx context.Context) (bundle.Signed, error) {
+	if p.targetHead != nil {
+		p.addContents(p.targetHead.contents())
+		return p.targetHead.Signed, nil
 	}
-	signed, err := p.manifestFromPeer(ctx)
-	// The limit is for word of configurations that don't exist: every host of
-	// the fleet would read the store for each such message.
-	if err == nil || !p.headInStore || !p.agent.fallbackLimit.Allow() {
+	signed, err := p.fetchManifestFromPeer(ctx)
+	// The rate limit keeps announcements of nonexistent configurations from
+	// making every host read the store.
+	if err == nil || !p.useStoreHead || !p.agent.fallbackLimiter.Allow() {
 		return signed, err
 	}
 	value, _, err := p.agent.readStoreHead(ctx)
 	if err != nil {
 		return bundle.Signed{}, err
 	}
-	p.take(value.contents())
+	p.addContents(value.contents())
 	return value.Signed, nil
 }
 
-func (p *puller) manifestFromPeer(ctx context.Context) (bundle.Signed, error) {
+func (p *puller) fetchManifestFromPeer(ctx context.Context) (bundle.Signed, error) {
 	if p.address == "" {
 		return bundle.Signed{}, errors.New("no peer is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	request := &rolloutpb.HeadRequest{}
-	if p.have != nil {
-		request.Generation = p.have.ref.Generation
-		request.ManifestHash = p.have.ref.Hash[:]
+	if p.active != nil {
+		request.Generation = p.active.ref.Generation
+		request.ManifestHash = p.active.ref.Hash[:]
 	}
 	reply, err := p.agent.client(ctx, p.address).Head(ctx, request)
 	if err != nil {
-		return bundle.Signed{}, errors.Wrap(err, "ask peer for its configuration")
+		return bundle.Signed{}, errors.Wrap(err, "request configuration from peer")
 	}
 	if len(reply.GetManifest()) == 0 {
 		return bundle.Signed{}, errNotNewer
 	}
-	p.takeReply(reply.GetDocuments())
+	p.addDocuments(reply.GetDocuments())
 	return bundle.DecodeSigned(reply.GetManifest())
 }
 
-// documents gets what is still missing: from the peer, then from the store.
-func (p *puller) documents(ctx context.Context, parts bundle.Parts) error {
-	if p.have != nil {
+// fetchDocuments fetches the missing documents from the peer, then from the
+// store.
+func (p *puller) fetchDocuments(ctx context.Context, parts bundle.Parts) error {
+	if p.active != nil {
 		for _, hash := range parts.Missing(p.contents) {
-			if content, ok := p.have.contents[hash]; ok {
+			if content, ok := p.active.contents[hash]; ok {
 				p.contents[hash] = content
 			}
 		}
 	}
-	err := p.documentsFromPeer(ctx, parts)
-	if err == nil || !p.documentsInStore {
+	err := p.fetchDocumentsFromPeer(ctx, parts)
+	if err == nil || !p.useStoreDocuments {
 		return err
 	}
-	return p.documentsFromStore(ctx, parts)
+	return p.fetchDocumentsFromStore(ctx, parts)
 }
 
-func (p *puller) documentsFromPeer(ctx context.Context, parts bundle.Parts) error {
+func (p *puller) fetchDocumentsFromPeer(ctx context.Context, parts bundle.Parts) error {
 	for {
 		missing := parts.Missing(p.contents)
 		if len(missing) == 0 {
@@ -150,7 +151,7 @@
 		if p.address == "" {
 			return errors.New("no peer is known")
 		}
-		if err := p.askDocuments(ctx, missing); err != nil {
+		if err := p.requestDocuments(ctx, missing); err != nil {
 			return err
 		}
 		if len(parts.Missing(p.contents)) == len(missing) {
@@ -159,7 +160,7 @@
 	}
 }
 
-func (p *puller) askDocuments(ctx context.Context, missing []bundle.Hash) error {
+func (p *puller) requestDocuments(ctx context.Context, missing []bundle.Hash) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	request := &rolloutpb.DocumentsRequest{}
@@ -168,13 +169,13 @@
 	}
 	reply, err := p.agent.client(ctx, p.address).Documents(ctx, request)
 	if err != nil {
-		return errors.Wrap(err, "ask peer for documents")
+		return errors.Wrap(err, "request documents from peer")
 	}
-	p.takeReply(reply.GetDocuments())
+	p.addDocuments(reply.GetDocuments())
 	return nil
 }
 
-func (p *puller) documentsFromStore(ctx context.Context, parts bundle.Parts) error {
+func (p *puller) fetchDocumentsFromStore(ctx context.Context, parts bundle.Parts) error {
 	for _, hash := range parts.Missing(p.contents) {
 		content, err := p.agent.readStoreDocument(ctx, hash)
 		if err != nil {
@@ -188,22 +189,23 @@
 	return nil
 }
 
-// takeReply files documents under the hash of what came, never under a hash
-// that the sender claims.
-func (p *puller) takeReply(documents []*rolloutpb.Document) {
+// addDocuments adds documents under the hash computed from their content, since
+// the sender isn't trusted.
+func (p *puller) addDocuments(documents []*rolloutpb.Document) {
 	for _, document := range documents {
 		p.contents[bundle.HashOf(document.GetContent())] = document.GetContent()
 	}
 }
 
-func (p *puller) take(contents bundle.Contents) {
+func (p *puller) addContents(contents bundle.Contents) {
 	for hash, content := range contents {
 		p.contents[hash] = content
 	}
 }
 
-// only drops documents that the manifest doesn't name, which a sender may add.
-func (p *puller) only(parts bundle.Parts) bundle.Contents {
+// referencedContents returns the documents that the manifest names; a sender may
+// have added others.
+func (p *puller) referencedContents(parts bundle.Parts) bundle.Contents {
 	contents := make(bundle.Contents)
 	for _, hash := range parts.All() {
 		contents[hash] = p.contents[hash]
--- a/rollout/retry.go
+++ b/rollout/retry.go
@@ -7,14 +7,12 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Pace of an operator's command against the store. An operator waits in front
-// of it, so it tries often at first; the store may be down for long, so it
-// soon slows down.
+// Timeouts and backoff of the operators' commands.
 const (
-	operatorCallTimeout  = 5 * time.Second
-	announceTimeout      = time.Second
-	operatorFirstBackoff = 100 * time.Millisecond
-	operatorLastBackoff  = 2 * time.Second
+	operatorCallTimeout = 5 * time.Second
+	refUpdateTimeout    = time.Second
+	operatorMinBackoff  = 100 * time.Millisecond
+	operatorMaxBackoff  = 2 * time.Second
 )
 
 func newBackoff(first, last time.Duration) *backoff.ExponentialBackOff {
@@ -25,7 +23,7 @@
 	return b
 }
 
-// pause waits, or gives the context's error.
+// pause sleeps for d, or returns the context's error if that ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -9,22 +9,23 @@
 	"github.com/goldcrestspan/goldcrestspan/rollout/rolloutpb"
 )
 
-// errBusy sends an asker to another peer.
+// errBusy makes the requesting host try another peer.
 var errBusy = errors.New("rollout: busy, ask another peer")
 
-// service answers peers from what the agent has published.
+// service answers peers from the agent's published snapshot.
 type service struct {
 	agent *Agent
 }
 
-// Notify takes news and tells what is in force here.
+// Notify handles a peer's announcement and returns the active configuration's
+// reference.
 func (s service) Notify(_ context.Context, request *rolloutpb.NotifyRequest) (*rolloutpb.NotifyReply, error) {
 	if request.GetGeneration() != 0 {
 		hash, err := bundle.HashFromBytes(request.GetManifestHash())
 		if err != nil {
 			return nil, err
 		}
-		s.agent.hear(bundle.Ref{Generation: request.GetGeneration(), Hash: hash}, request.GetAddress())
+		s.agent.enqueueAnnouncement(bundle.Ref{Generation: request.GetGeneration(), Hash: hash}, request.GetAddress())
 	}
 	ref := s.agent.InForce()
 	if ref.IsZero() {
@@ -33,14 +34,15 @@
 	return &rolloutpb.NotifyReply{Generation: ref.Generation, ManifestHash: ref.Hash[:]}, nil
 }
 
-// Head returns the manifest and the documents that the asker lacks.
+// Head returns the active manifest, with the documents that changed since the
+// requesting host's configuration if that is one of the recent ones.
 func (s service) Head(_ context.Context, request *rolloutpb.HeadRequest) (*rolloutpb.HeadReply, error) {
 	release, err := s.admit()
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	p := s.agent.published.Load()
+	p := s.agent.snapshot.Load()
 	if p == nil || request.GetGeneration() >= p.ref.Generation {
 		return &rolloutpb.HeadReply{}, nil
 	}
@@ -53,14 +55,15 @@
 	return reply, nil
 }
 
-// Documents returns those of the documents that are in force here.
+// Documents returns those of the requested documents that belong to the active
+// configuration.
 func (s service) Documents(_ context.Context, request *rolloutpb.DocumentsRequest) (*rolloutpb.DocumentsReply, error) {
 	release, err := s.admit()
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	p := s.agent.published.Load()
+	p := s.agent.snapshot.Load()
 	if p == nil {
 		return &rolloutpb.DocumentsReply{}, nil
 	}
@@ -77,24 +80,25 @@
 
 func (s service) admit() (release func(), err error) {
 	select {
-	case s.agent.serving <- struct{}{}:
-		return func() { <-s.agent.serving }, nil
+	case s.agent.serveSlots <- struct{}{}:
+		return func() { <-s.agent.serveSlots }, nil
 	default:
-		s.agent.metrics.busy.Inc()
+		s.agent.metrics.busyReplies.Inc()
 		return nil, errBusy
 	}
 }
 
-// documents collects what is in force here, up to the size of a reply.
-func (p *published) documents(hashes []bundle.Hash) []*rolloutpb.Document {
+// documents returns the documents of the active configuration among hashes, up
+// to the size limit of a reply.
+func (s *snapshot) documents(hashes []bundle.Hash) []*rolloutpb.Document {
 	var documents []*rolloutpb.Document
 	size := 0
 	for _, hash := range hashes {
-		content, ok := p.contents[hash]
+		content, ok := s.contents[hash]
 		if !ok {
 			continue
 		}
-		if size += len(content); size > replyDocumentsBytes && len(documents) > 0 {
+		if size += len(content); size > maxReplyDocumentBytes && len(documents) > 0 {
 			break
 		}
 		documents = append(documents, &rolloutpb.Document{Content: content})
@@ -102,6 +106,7 @@
 	return documents
 }
 
+// without returns the hashes that are not in known.
 func without(hashes, known []bundle.Hash) []bundle.Hash {
 	skip := make(map[bundle.Hash]bool, len(known))
 	for _, hash := range known {
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	statusPath    = "/v1/status"
-	statusTimeout = 2 * time.Second
-	statusBytes   = 1 << 20
-	statusAtOnce  = 64
+	statusPath                  = "/v1/status"
+	statusTimeout               = 2 * time.Second
+	maxStatusBytes              = 1 << 20
+	maxConcurrentStatusRequests = 64
 )
 
-// HostStatus is what one host has in force.
+// HostStatus is the active configuration of one host.
 type HostStatus struct {
 	Address    string `json:"address"`
 	Host       string `json:"host"`
 	Generation uint64 `json:"generation"`
-	// Lags is how many generations the host is behind the newest one known.
+	// Lags is the difference from the newest generation known.
 	Lags uint64 `json:"lags"`
-	// Error says why the host could not be asked.
+	// Error says why the host's status could not be read.
 	Error string `json:"error,omitempty"`
 }
 
-// FleetStatus is the accepted generation and what the hosts have in force.
+// FleetStatus is the accepted generation and the hosts' active ones.
 type FleetStatus struct {
-	// Accepted is the head's generation; 0: not known.
+	// Accepted is the generation of the head; 0 if unknown.
 	Accepted uint64       `json:"accepted"`
 	Hosts    []HostStatus `json:"hosts"`
 }
 
-// Lagging counts the hosts that are behind or did not answer.
+// Lagging returns how many hosts are behind or did not answer.
 func (s FleetStatus) Lagging() int {
 	n := 0
 	for _, host := range s.Hosts {
@@ -48,20 +48,21 @@
 	return n
 }
 
-// Status asks each host's operators' listener what it has in force. An address
-// is IP and port, or a URL for a listener with TLS. Accepted may be 0.
+// Status queries the operators' listener of each host. An address is IP and
+// port, or a URL for a listener with TLS. accepted is the generation of the
+// head, or 0 if unknown.
 func Status(ctx context.Context, client *http.Client, accepted uint64, addresses []string) FleetStatus {
 	status := FleetStatus{Accepted: accepted, Hosts: make([]HostStatus, len(addresses))}
-	var asked sync.WaitGroup
-	turns := make(chan struct{}, statusAtOnce)
+	var requests sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentStatusRequests)
 	for i, address := range addresses {
-		turns <- struct{}{}
-		asked.Go(func() {
-			status.Hosts[i] = askStatus(ctx, client, address)
-			<-turns
+		slots <- struct{}{}
+		requests.Go(func() {
+			status.Hosts[i] = queryHost(ctx, client, address)
+			<-slots
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 	newest := accepted
 	for _, host := range status.Hosts {
 		newest = max(newest, host.Generation)
@@ -74,15 +75,15 @@
 	return status
 }
 
-func askStatus(ctx context.Context, client *http.Client, address string) HostStatus {
+func queryHost(ctx context.Context, client *http.Client, address string) HostStatus {
 	status := HostStatus{Address: address}
-	if err := getStatus(ctx, client, address, &status); err != nil {
+	if err := fetchStatus(ctx, client, address, &status); err != nil {
 		status.Error = err.Error()
 	}
 	return status
 }
 
-func getStatus(ctx context.Context, client *http.Client, address string, into *HostStatus) error {
+func fetchStatus(ctx context.Context, client *http.Client, address string, into *HostStatus) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	base := address
@@ -99,13 +100,13 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("status %d", response.StatusCode)
+		return errors.Errorf("host answered with HTTP status %d", response.StatusCode)
 	}
 	var reply struct {
 		Host       string `json:"host"`
 		Generation uint64 `json:"generation"`
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, statusBytes)).Decode(&reply)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&reply)
 	into.Host, into.Generation = reply.Host, reply.Generation
-	return errors.Wrap(err, "read the host's status")
+	return errors.Wrap(err, "decode the host's status")
 }
--- a/rollout/submission.go
+++ b/rollout/submission.go
@@ -7,40 +7,33 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// step is what a submission does next.
+// step is the next step of a submission.
 type step int
 
 const (
-	// stepReadHead reads the head object.
 	stepReadHead step = iota
-	// stepWriteHead moves the head from the version last read.
+	// stepWriteHead replaces the head at the version last read.
 	stepWriteHead
-	// stepReadAncestor reads the manifest that the walk down from the head has
-	// come to.
+	// stepReadAncestor reads the next older manifest of the head's history.
 	stepReadAncestor
-	// stepAccepted ends it: the manifest is or was the head.
+	// stepAccepted is final: the manifest is or was the head.
 	stepAccepted
-	// stepConflict ends it: someone else's change came first.
+	// stepConflict is final: another change was accepted first.
 	stepConflict
 )
 
-// submission decides how one manifest becomes the head. It is pure; Submit
-// does the calls. It may be run again from the start at any time, by the same
-// or another process, with the same outcome.
+// submission decides the steps by which a manifest becomes the head. It does no
+// I/O. It can be restarted from the first step at any time, also by another
+// process, and reaches the same outcome.
 type submission struct {
 	self   bundle.Ref
 	parent bundle.Ref
 }
 
-// onHead decides from the head as read; zero: there is none.
-//
-// Guard against operators who race: the head moves only from the very
-// configuration that the author started from, so of two changes of one parent
-// the second is refused, never merged or overwritten unseen.
-//
-// Guard against stale reads: a head below the parent was read from a copy that
-// lags. Taken for the truth, it would make a change that is in force look
-// refused. It is read again until it is the parent at least.
+// onHead returns the step after reading the head; a zero head means that there
+// is none. The head is replaced only if it is the change's parent, so of two
+// concurrent changes the second conflicts. A head below the parent is a stale
+// read and is read again.
 func (s submission) onHead(head, headParent bundle.Ref) step {
 	switch {
 	case head == s.self:
@@ -56,9 +49,9 @@
 	}
 }
 
-// onAncestor decides from an ancestor of the head. The head may have moved to
-// this manifest and on from there while the reply was lost; the ancestors tell
-// for sure, since they never change and each generation has one.
+// onAncestor returns the step after reading an ancestor of the head. If the
+// manifest was accepted and then superseded while a reply was lost, it is among
+// the head's ancestors.
 func (s submission) onAncestor(ancestor bundle.Ref) step {
 	switch {
 	case ancestor == s.self:
@@ -70,13 +63,10 @@
 	}
 }
 
-// onWrite decides from the outcome of moving the head.
-//
-// Guard against a lost reply: the write may have taken effect, or may still
-// take effect. Telling the operator "failed" would make them submit another
-// change against a configuration that is in force. The head is read again: it
-// names this manifest, or the parent, and then the write is repeated with the
-// same expected version, so at most one of the two takes effect.
+// onWrite returns the step after writing the head. After an error the write may
+// have taken effect, or may do so later, so the head is read again. If that
+// still is the parent, the write is repeated with the same expected version, so
+// that at most one of the two takes effect.
 func (s submission) onWrite(err error) step {
 	if err == nil {
 		return stepAccepted
@@ -84,8 +74,8 @@
 	return stepReadHead
 }
 
-// mayHaveTakenEffect reports whether a failed write leaves the outcome open.
-// Only errors that the store defines as without effect are sure.
+// mayHaveTakenEffect reports whether a write that returned err may still have
+// changed the store.
 func mayHaveTakenEffect(err error) bool {
 	return err != nil && !errors.Is(err, metastore.ErrUnavailable) &&
 		!errors.Is(err, metastore.ErrConflict) && !errors.Is(err, metastore.ErrTooLarge)
--- a/rollout/submit.go
+++ b/rollout/submit.go
@@ -12,24 +12,24 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// ConflictError: another change was accepted first; nothing of this one is in
-// force. It shows the other's change, so that the author can make theirs again
-// on top.
+// ConflictError reports that another change was accepted first and that this
+// one has no effect. It describes the other change, so that the author can
+// rebase on it.
 type ConflictError struct {
-	// Parent is the configuration that the refused change started from.
+	// Parent is the configuration that the refused change is based on.
 	Parent bundle.Ref
-	// Head is the one accepted since.
+	// Head is the configuration accepted since, by Author for Reason.
 	Head   bundle.Ref
 	Author string
 	Reason string
-	// Differences is what was accepted since Parent.
+	// Differences lists the changes from Parent to Head.
 	Differences []bundle.Difference
 }
 
-// Error writes whose change came first, what it changes and the mend.
+// Error describes the other change and how to resolve the conflict.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "conflict: this change starts from generation %s, but %s's generation %s (%q) was accepted since; nothing of this change is in force; make it again on top and sign it again",
+	fmt.Fprintf(&b, "conflict: this change is based on generation %s, but %s's generation %s (%q) was accepted since; this change has no effect; make it again on top and sign it again",
 		e.Parent, e.Author, e.Head, e.Reason)
 	for _, difference := range e.Differences {
 		fmt.Fprintf(&b, "\n  %s", difference)
@@ -37,38 +37,41 @@
 	return b.String()
 }
 
-// UnknownError: the store did not say in time whether the head moved.
-type UnknownError struct {
+// OutcomeUnknownError reports that the store did not confirm in time whether the
+// head was replaced.
+type OutcomeUnknownError struct {
 	Ref   bundle.Ref
 	Cause error
 }
 
-// Error says what to do: to submit the same file again is always safe.
-func (e *UnknownError) Error() string {
+// Error describes how to resolve the outcome; submitting the same file again is
+// always safe.
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("whether generation %s was accepted is not known (%v); submit the same file again when the store answers", e.Ref, e.Cause)
 }
 
 // Unwrap returns the last error of the store.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// Receipt tells what a submit did.
+// Receipt is the result of a submit whose change was accepted.
 type Receipt struct {
 	Ref bundle.Ref `json:"ref"`
-	// Superseded: it was accepted, and a later change has been accepted since.
+	// Superseded reports that a later change has been accepted since.
 	Superseded bool `json:"superseded,omitempty"`
-	// DocumentsWritten counts the documents that the store lacked.
+	// DocumentsWritten counts the documents that were written to the store.
 	DocumentsWritten int `json:"documents_written"`
-	// Elapsed is from the first call to acceptance.
+	// Elapsed is the time from the first call until acceptance.
 	Elapsed time.Duration `json:"elapsed"`
 }
 
-// Submit checks the change and moves the head to it. It is idempotent: the
-// same change may be submitted again after any error. Until ctx ends it goes
-// on through outages of the store.
+// Submit verifies the change and makes it the head. It is idempotent: the same
+// change may be submitted again after any error. It retries through outages of
+// the store until ctx ends.
 //
-// The errors: *bundle.SignatureError and bundle.Problems refuse the change,
-// *ConflictError means that another came first, *UnknownError that the outcome
-// is open; any other means that this submit did not move the head.
+// A *bundle.SignatureError or bundle.Problems says that the change is invalid,
+// a *ConflictError that another change was accepted first, and an
+// *OutcomeUnknownError that the outcome is unknown. After any other error this
+// call did not replace the head.
 func Submit(ctx context.Context, store metastore.Store, signers bundle.Signers, change bundle.Change) (Receipt, error) {
 	s, err := newSubmitter(store, signers, change)
 	if err != nil {
@@ -78,22 +81,22 @@
 }
 
 type submitter struct {
-	store    metastore.Store
-	signed   bundle.Signed
-	manifest bundle.Manifest
-	contents bundle.Contents
-	logic    submission
+	store     metastore.Store
+	signed    bundle.Signed
+	manifest  bundle.Manifest
+	contents  bundle.Contents
+	decisions submission
 
-	head     acceptedHead         // as last read
-	ancestor bundle.Ref           // where the walk down from the head has come to
-	written  map[bundle.Hash]bool // documents, over all tries
-	prepared bool
-	// conflicted is set by a write that conflicted, and refusedVersion is the
-	// version it expected, which is 0 for the first head.
-	conflicted     bool
-	refusedVersion uint64
-	// open is set by a write whose outcome the store did not tell.
-	open bool
+	head                 acceptedHead         // as last read
+	ancestor             bundle.Ref           // of the head; the next one to read
+	written              map[bundle.Hash]bool // documents, in all attempts
+	prerequisitesWritten bool
+	// conflicted is set by a write that conflicted, and conflictVersion is the
+	// version it expected; 0 is valid, for the first head.
+	conflicted      bool
+	conflictVersion uint64
+	// outcomeUnknown is set by a write whose outcome the store did not report.
+	outcomeUnknown bool
 }
 
 func newSubmitter(store metastore.Store, signers bundle.Signers, change bundle.Change) (*submitter, error) {
@@ -106,32 +109,32 @@
 	}
 	self := bundle.Ref{Generation: manifest.Generation, Hash: change.Signed.Hash()}
 	return &submitter{
-		store:    store,
-		signed:   change.Signed,
-		manifest: manifest,
-		contents: change.Contents,
-		written:  make(map[bundle.Hash]bool),
-		logic:    submission{self: self, parent: manifest.Parent},
+		store:     store,
+		signed:    change.Signed,
+		manifest:  manifest,
+		contents:  change.Contents,
+		written:   make(map[bundle.Hash]bool),
+		decisions: submission{self: self, parent: manifest.Parent},
 	}, nil
 }
 
 func (s *submitter) run(ctx context.Context) (Receipt, error) {
 	started := time.Now()
-	wait := newBackoff(operatorFirstBackoff, operatorLastBackoff)
+	wait := newBackoff(operatorMinBackoff, operatorMaxBackoff)
 	next := stepReadHead
 	for {
 		var err error
-		next, err = s.do(ctx, next)
+		next, err = s.doStep(ctx, next)
 		switch {
 		case err != nil && ctx.Err() == nil && retryable(err):
 			_ = pause(ctx, wait.NextBackOff())
 		case err != nil:
-			return Receipt{}, s.failure(err)
+			return Receipt{}, s.wrapError(err)
 		case next == stepAccepted:
-			s.announce(ctx)
+			s.updateRef(ctx)
 			return Receipt{
-				Ref:              s.logic.self,
-				Superseded:       s.head.ref.Generation > s.logic.self.Generation,
+				Ref:              s.decisions.self,
+				Superseded:       s.head.ref.Generation > s.decisions.self.Generation,
 				DocumentsWritten: len(s.written),
 				Elapsed:          time.Since(started),
 			}, nil
@@ -141,17 +144,17 @@
 	}
 }
 
-// announce updates the hint for watchers' heartbeats. A failure changes nothing
-// for the operator: the head has moved, and watches have told it.
-func (s *submitter) announce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+// updateRef updates the ref object for the watchers' heartbeats. A failure is
+// ignored: the head is already replaced, and the watches report it.
+func (s *submitter) updateRef(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, refUpdateTimeout)
 	defer cancel()
-	_ = writeRef(ctx, s.store, s.logic.self)
+	_ = writeRef(ctx, s.store, s.decisions.self)
 }
 
-// do takes one step and returns the next. With an error the next step is the
-// one to take after a pause.
-func (s *submitter) do(ctx context.Context, current step) (step, error) {
+// doStep performs one step and returns the next. With an error, the returned
+// step is the one to retry after the backoff.
+func (s *submitter) doStep(ctx context.Context, current step) (step, error) {
 	switch current {
 	case stepReadHead:
 		head, err := s.readHead(ctx)
@@ -159,11 +162,11 @@
 			return stepReadHead, err
 		}
 		s.head, s.ancestor = head, head.manifest.Parent
-		next := s.logic.onHead(head.ref, head.manifest.Parent)
-		// A write at this version has conflicted, so the store has moved on and
-		// the read lags. Without a pause the two would follow each other as fast
-		// as the store answers.
-		if next == stepReadHead || (next == stepWriteHead && s.conflicted && head.version == s.refusedVersion) {
+		next := s.decisions.onHead(head.ref, head.manifest.Parent)
+		// A write at this version has conflicted, so the read is stale. Without
+		// a backoff, stale reads and conflicting writes would alternate in a
+		// busy loop.
+		if next == stepReadHead || (next == stepWriteHead && s.conflicted && head.version == s.conflictVersion) {
 			return stepReadHead, errStale
 		}
 		return next, nil
@@ -172,7 +175,7 @@
 	case stepReadAncestor:
 		return s.readAncestor(ctx)
 	default:
-		return current, errors.Errorf("submit has no step %d", current)
+		return current, errors.Errorf("unknown submit step %d", current)
 	}
 }
 
@@ -183,11 +186,11 @@
 }
 
 func (s *submitter) writeHead(ctx context.Context) (step, error) {
-	if !s.prepared {
-		if err := s.prepare(ctx); err != nil {
+	if !s.prerequisitesWritten {
+		if err := s.writePrerequisites(ctx); err != nil {
 			return stepReadHead, err
 		}
-		s.prepared = true
+		s.prerequisitesWritten = true
 	}
 	raw, err := encodeHead(s.signed, s.changed(), s.manifest.Parts.All())
 	if err != nil {
@@ -197,25 +200,25 @@
 	defer cancel()
 	_, err = s.store.Put(ctx, HeadKey, raw, s.head.version)
 	if mayHaveTakenEffect(err) {
-		s.open = true
+		s.outcomeUnknown = true
 	}
-	next := s.logic.onWrite(err)
+	next := s.decisions.onWrite(err)
 	if errors.Is(err, metastore.ErrConflict) {
-		s.conflicted, s.refusedVersion = true, s.head.version
-		return next, nil // someone moved it: no need to wait before reading
+		s.conflicted, s.conflictVersion = true, s.head.version
+		return next, nil // the head has changed; read it without a backoff
 	}
 	return next, err
 }
 
-// prepare writes what must be there before the head moves: the documents, and
-// the parent in the history, so that no accepted generation is lost from it
-// when a submitter dies between two writes.
-func (s *submitter) prepare(ctx context.Context) error {
+// writePrerequisites writes the documents, and the parent manifest to the
+// history. Both must exist before the head is replaced: a submit that crashes in
+// between must not leave a gap in the history.
+func (s *submitter) writePrerequisites(ctx context.Context) error {
 	for hash, content := range s.changed() {
 		if s.written[hash] {
 			continue
 		}
-		if err := s.create(ctx, documentKey(hash), content); err != nil {
+		if err := s.createIfAbsent(ctx, documentKey(hash), content); err != nil {
 			return err
 		}
 		s.written[hash] = true
@@ -227,12 +230,12 @@
 	if err != nil {
 		return err
 	}
-	return s.create(ctx, manifestKey(s.head.ref), parent)
+	return s.createIfAbsent(ctx, manifestKey(s.head.ref), parent)
 }
 
-// create writes an object that always has the same value, so one that is
-// there already is as good.
-func (s *submitter) create(ctx context.Context, key string, value []byte) error {
+// createIfAbsent writes an object whose value depends on its key alone. It is no
+// error if the object exists.
+func (s *submitter) createIfAbsent(ctx context.Context, key string, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
 	_, err := s.store.Put(ctx, key, value, 0)
@@ -242,7 +245,7 @@
 	return err
 }
 
-// changed is what the parent does not have.
+// changed returns the documents that the head does not have.
 func (s *submitter) changed() bundle.Contents {
 	known := make(map[bundle.Hash]bool)
 	if !s.head.ref.IsZero() {
@@ -264,7 +267,7 @@
 	defer cancel()
 	signed, err := readManifest(ctx, s.store, s.head, s.ancestor)
 	if errors.Is(err, metastore.ErrNotFound) {
-		return stepReadAncestor, errStale // it was written before its successor
+		return stepReadAncestor, errStale // it was written before its successor, so this read is stale
 	}
 	if err != nil {
 		return stepReadAncestor, err
@@ -274,23 +277,23 @@
 		return stepReadAncestor, err
 	}
 	s.ancestor = manifest.Parent
-	return s.logic.onAncestor(s.ancestor), nil
+	return s.decisions.onAncestor(s.ancestor), nil
 }
 
-// errStale: the store answers with a state older than one it has shown.
+// errStale reports that a read returned an older state than one already seen.
 var errStale = errors.New("the store's reads lag behind its writes")
 
-// retryable errors are outages; all others stay as they are.
+// retryable reports whether the error is temporary.
 func retryable(err error) bool {
 	return errors.Is(err, metastore.ErrUnavailable) || errors.Is(err, metastore.ErrAmbiguous) ||
 		errors.Is(err, context.DeadlineExceeded) || errors.Is(err, errStale)
 }
 
-func (s *submitter) failure(err error) error {
-	if s.open {
-		return &UnknownError{Ref: s.logic.self, Cause: err}
+func (s *submitter) wrapError(err error) error {
+	if s.outcomeUnknown {
+		return &OutcomeUnknownError{Ref: s.decisions.self, Cause: err}
 	}
-	return errors.Wrapf(err, "generation %s: this submit did not move the head; submit the same file again when the store answers", s.logic.self)
+	return errors.Wrapf(err, "generation %s: this submit did not move the head; submit the same file again when the store answers", s.decisions.self)
 }
 
 func (s *submitter) conflict(ctx context.Context) error {
@@ -300,13 +303,13 @@
 		Author: s.head.manifest.Author,
 		Reason: s.head.manifest.Reason,
 	}
-	// Without the differences the refusal still stands and is still clear.
+	// The differences only add detail; an error in reading them is ignored.
 	conflict.Differences, _ = differencesSince(ctx, s.store, s.head, s.manifest.Parent, s.contents)
 	return conflict
 }
 
-// differencesSince lists what was accepted after the parent. The change's own
-// documents save reading most of the parent's.
+// differencesSince lists the changes accepted after parent. own holds the
+// change's documents, which saves reading those that the parent shares.
 func differencesSince(ctx context.Context, store metastore.Store, current acceptedHead, parent bundle.Ref, own bundle.Contents) ([]bundle.Difference, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
