--- a/home/changes.go
+++ b/home/changes.go
@@ -77,8 +77,8 @@
 	return time.Time{}
 }
 
-// TakeChanges returns what has changed of the servers since the last call.
-func (h *Home) TakeChanges() []ServerChange {
+// DrainChanges returns what has changed of the servers since the last call.
+func (h *Home) DrainChanges() []ServerChange {
 	changes := h.changes
 	h.changes = nil
 	return changes
--- a/home/cold.go
+++ b/home/cold.go
@@ -9,7 +9,7 @@
 // cold reports whether what the server gets is bounded since it has just started, by
 // its own word or since it could not be reached a moment ago.
 func (s *server) cold(now time.Time) bool {
-	return s.spec.Warmup.For > 0 && now.Before(s.coldUntil())
+	return s.spec.Warmup.Duration > 0 && now.Before(s.coldUntil())
 }
 
 func (s *server) coldUntil() time.Time {
@@ -39,7 +39,7 @@
 
 // noteStart counts an attempt against the bound on a cold server.
 func (s *server) noteStart(now time.Time) {
-	if s.spec.Warmup.For > 0 {
+	if s.spec.Warmup.Duration > 0 {
 		s.starts.Note(now, s.spec.Warmup.PerSecond)
 	}
 }
@@ -51,9 +51,9 @@
 // returns within milliseconds, and they crash again. The guard holds because a server
 // whose connections were refused counts as cold until a start at that moment would be
 // warm.
-func (s *server) noteUnreachable(now time.Time, end End) {
+func (s *server) noteUnreachable(now time.Time, end AttemptResult) {
 	if end.Fault == backend.FaultUnreachable {
-		s.restartedUntil = now.Add(s.spec.Warmup.For)
+		s.restartedUntil = now.Add(s.spec.Warmup.Duration)
 	}
 }
 
--- a/home/forecast.go
+++ b/home/forecast.go
@@ -11,7 +11,7 @@
 // after they have used the slots of twenty services.
 func (h *Home) Forecast(now time.Time, position int) legs.Forecast {
 	c := &h.classes[position]
-	return legs.Forecast{Wait: h.waitFor(c, now), Run: h.runTime(c, now), Silent: h.silent(now)}
+	return legs.Forecast{QueueTime: h.waitFor(c, now), ServiceTime: h.runTime(c, now), Unresponsive: h.silent(now)}
 }
 
 const (
--- a/home/hedge.go
+++ b/home/hedge.go
@@ -30,9 +30,9 @@
 	}
 	slow := c.quantiles().slow
 	if slow == 0 {
-		slow = c.spec.HedgeUnknown
+		slow = c.spec.DefaultHedgeDelay
 	}
-	return time.Duration(float64(slow) * (1 + hedgeDelay*(1-h.hedgeBudget.Fill())))
+	return time.Duration(float64(slow) * (1 + hedgeDelay*(1-h.hedgeBudget.FillRatio())))
 }
 
 // queueHedges moves attempts that are past the hedge age into the queue of
@@ -73,7 +73,7 @@
 // each uses a slot for work that is done elsewhere already, so that the service
 // falls behind just when it has nothing to spare.
 func (h *Home) pickHedge(c *class, now time.Time) (*leg, *server) {
-	if c.hedges.len() == 0 || c.waiting.len() > 0 || !h.hedgeBudget.Allows() {
+	if c.hedges.len() == 0 || c.waiting.len() > 0 || !h.hedgeBudget.CanSpend() {
 		return nil, nil
 	}
 	for i := 0; i < c.hedges.len() && i < maxScan; i++ {
--- a/home/home.go
+++ b/home/home.go
@@ -29,16 +29,16 @@
 	Idempotent  bool
 	Fingerprint uint64
 	Bytes       int // of the body, for the bound of the queue
-	// Due is when the answer loses most of its worth; zero: at the deadline.
+	// SoftDeadline is when the answer loses most of its worth; zero: at the deadline.
 	// Waiting legs go in the order of what they are due, and one that has
 	// missed it stands behind those that can still make it.
-	Due time.Time
+	SoftDeadline time.Time
 	// Optional: the query can do without this leg's answer.
 	Optional bool
 	// MaxServers bounds the servers that may run the leg; 0: no bound.
 	MaxServers int
-	// Only names the one server that may run the leg; empty: any.
-	Only string
+	// PinnedServer names the one server that may run the leg; empty: any.
+	PinnedServer string
 	// Regions are those whose servers may run the leg; empty: any.
 	Regions []string
 	// Forwarded requests are tried again on another server also after one that
@@ -74,8 +74,8 @@
 	RetryAfter time.Duration
 }
 
-// End is how an attempt ended, as its reply or its failure told.
-type End struct {
+// AttemptResult is how an attempt ended, as its reply or its failure told.
+type AttemptResult struct {
 	Outcome    result.Outcome
 	Fault      backend.Fault
 	Load       backend.Load // valid when HasLoad
@@ -96,13 +96,13 @@
 	// ColdUntil is until when the server has said to be cold after its start.
 	ColdUntil time.Time
 	// Warmup bounds what the server gets while it is cold.
-	Warmup Warmup
+	Warmup WarmupLimit
 }
 
-// Warmup bounds what this home may send to a server while it is cold; the zero value:
+// WarmupLimit bounds what this home may send to a server while it is cold; the zero value:
 // no bound.
-type Warmup struct {
-	For       time.Duration // a server is cold for so long after a start; 0: no bound
+type WarmupLimit struct {
+	Duration  time.Duration // a server is cold for so long after a start; 0: no bound
 	PerSecond int           // starts in any second; 0: none, another host warms it
 }
 
@@ -111,9 +111,9 @@
 	Name          string
 	ReservedShare float64
 	MaxQueue      int
-	// HedgeUnknown is the age at which an attempt is hedged while too little is
+	// DefaultHedgeDelay is the age at which an attempt is hedged while too little is
 	// known of the class's service times; 0: not at all.
-	HedgeUnknown time.Duration
+	DefaultHedgeDelay time.Duration
 }
 
 // Config holds the limits of one home.
@@ -128,18 +128,18 @@
 	// HedgeBurst and RetryBurst are how many hedges and retries may be sent
 	// beyond the budgets' rates; 0: hedgeBurst and retryBurst.
 	HedgeBurst, RetryBurst float64
-	// HedgeStart and RetryStart are the parts of the bursts that are there at the start,
+	// HedgeInitialFill and RetryStart are the parts of the bursts that are there at the start,
 	// 0 to 1.
-	HedgeStart, RetryStart float64
-	// HedgeRate and RetryRate are how many may be sent a second whatever the load.
-	HedgeRate, RetryRate float64
+	HedgeInitialFill, RetryInitialFill float64
+	// HedgesPerSecond and RetryRate are how many may be sent a second whatever the load.
+	HedgesPerSecond, RetriesPerSecond float64
 	// ChargeRefusals makes an attempt after a refusal cost a retry: for
 	// services whose operator counts each arrival beyond the first.
 	ChargeRefusals bool
-	// WarmAfter is how many answers a new server gives before it gets as much at
+	// SlowStartReplies is how many answers a new server gives before it gets as much at
 	// once as the others; 0: warmAfter.
-	WarmAfter int
-	// ShareSlots leaves the slots that the servers report as used by others to
+	SlowStartReplies int
+	// ReserveReportedLoad leaves the slots that the servers report as used by others to
 	// them: for services that several hosts send to at once. With a home on one
 	// host the report only lags behind what the home knows itself.
 	//
@@ -147,13 +147,13 @@
 	// prevented: each fills the slots and sends one ahead, and a server's own
 	// queue of seven, in the order of arrival, uses up a target of 200 ms. Each
 	// host keeps one, so that none is starved by the others.
-	ShareSlots bool
+	ReserveReportedLoad bool
 	// AvoidStalled sends nothing to a server that seems stalled while
 	// another is healthy, and hedges what runs there.
 	AvoidStalled bool
-	// Shared is what all homes of this host know together; nil: each learns alone.
-	Shared *Shared
-	// ZoneCost is what a hop to another availability zone counts for, in
+	// LatencyStats is what all homes of this host know together; nil: each learns alone.
+	LatencyStats *LatencyStats
+	// CrossZonePenaltySeconds is what a hop to another availability zone counts for, in
 	// seconds of finish time; 0: zoneCost.
-	ZoneCost float64
+	CrossZonePenaltySeconds float64
 }
--- a/home/learn.go
+++ b/home/learn.go
@@ -11,7 +11,7 @@
 const healthyFactor = 2
 
 // learn takes what an attempt's end says of its server.
-func (h *Home) learn(now time.Time, a *attempt, end End) {
+func (h *Home) learn(now time.Time, a *attempt, end AttemptResult) {
 	s := a.server
 	if end.HasLoad {
 		s.observeLoad(now, end.Load)
@@ -99,7 +99,7 @@
 // bound: at most half of the servers are ejected, so that a signal that is
 // wrong for all of them (a bad network here, a request that fails everywhere)
 // can't empty the service; the others only pause.
-func (h *Home) observeFault(now time.Time, a *attempt, end End) {
+func (h *Home) observeFault(now time.Time, a *attempt, end AttemptResult) {
 	s := a.server
 	s.failing.note(now, true)
 	s.noteUnreachable(now, end)
--- a/home/leg.go
+++ b/home/leg.go
@@ -85,7 +85,7 @@
 // avoids reports whether the leg must or should not go to the server: one that is
 // not for it, one that runs it already, or the one that failed it while there are others.
 func (l *leg) avoids(s *server, usable int) bool {
-	if l.Only != "" && l.Only != s.spec.Name {
+	if l.PinnedServer != "" && l.PinnedServer != s.spec.Name {
 		return true
 	}
 	if !eligible.InRegions(l.Regions, s.spec.Region) {
--- a/home/place.go
+++ b/home/place.go
@@ -93,7 +93,7 @@
 		finish += expected / float64(limit) // sent ahead, waits for a slot
 	}
 	if !s.spec.SameZone {
-		finish += h.cfg.ZoneCost
+		finish += h.cfg.CrossZonePenaltySeconds
 	}
 	return finish + faultCost*s.failing.share(now)
 }
--- a/home/reconfigure.go
+++ b/home/reconfigure.go
@@ -15,10 +15,10 @@
 	h.moveTimes(position, cfg)
 	for _, s := range h.servers {
 		s.slots = slotsOf(s.spec, &cfg)
-		s.warmAfter, s.sharesSlots = cfg.WarmAfter, cfg.ShareSlots
+		s.warmAfter, s.sharesSlots = cfg.SlowStartReplies, cfg.ReserveReportedLoad
 	}
-	h.hedgeBudget.Set(cfg.HedgeBudget, cfg.HedgeBurst)
-	h.retryBudget.Set(cfg.RetryBudget, cfg.RetryBurst)
+	h.hedgeBudget.SetLimits(cfg.HedgeBudget, cfg.HedgeBurst)
+	h.retryBudget.SetLimits(cfg.RetryBudget, cfg.RetryBurst)
 	h.cfg = cfg
 	h.setRates()
 	return h.dispatch(now, acts)
@@ -42,7 +42,7 @@
 	old := h.classes
 	h.classes = make([]class, len(cfg.Classes))
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.class(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.LatencyStats.class(cfg.Classes[i].Name)}
 	}
 	for i := range old {
 		c := &h.classes[position[i]]
--- a/home/server.go
+++ b/home/server.go
@@ -69,8 +69,8 @@
 		times:   make([]meanTime, len(cfg.Classes)),
 		warm:    warm,
 
-		warmAfter:   cfg.WarmAfter,
-		sharesSlots: cfg.ShareSlots,
+		warmAfter:   cfg.SlowStartReplies,
+		sharesSlots: cfg.ReserveReportedLoad,
 		refusing:    recentShare{weight: refusalWeight},
 		failing:     recentShare{weight: faultWeight},
 
@@ -275,7 +275,7 @@
 // countsAsFault reports whether an end speaks against the server. A refusal is
 // the server's right; a snapshot it lacks or a call that was cancelled is no
 // fault of its.
-func countsAsFault(end End) bool {
+func countsAsFault(end AttemptResult) bool {
 	switch end.Fault {
 	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultSilent, backend.FaultBroken,
 		backend.FaultHalfReply, backend.FaultCrossed, backend.FaultServer:
@@ -286,7 +286,7 @@
 }
 
 // countsAsRefusal reports whether the server had no room for the attempt.
-func countsAsRefusal(end End) bool {
+func countsAsRefusal(end AttemptResult) bool {
 	return end.Fault == backend.FaultShed || end.Fault == backend.FaultConnectionLimit ||
 		(end.Outcome == result.OutcomeRefused && end.Fault == backend.FaultNone)
 }
--- a/home/settle.go
+++ b/home/settle.go
@@ -22,7 +22,7 @@
 )
 
 // settle decides what an attempt's end means for its leg, which still waits.
-func (h *Home) settle(now time.Time, a *attempt, end End, acts []Action) []Action {
+func (h *Home) settle(now time.Time, a *attempt, end AttemptResult, acts []Action) []Action {
 	l := a.leg
 	if answers(end) {
 		return h.answer(now, a, acts)
@@ -59,13 +59,13 @@
 // milliseconds and fail. It makes no retry storm, since a server that refused
 // is paused, longer each time, and one that all servers refuse is failed by
 // dropUnservable.
-func paced(end End) bool {
+func paced(end AttemptResult) bool {
 	return end.Fault == backend.FaultShed || end.Fault == backend.FaultConnectionLimit
 }
 
 // costsRetry reports whether another attempt after this end is paid from the
 // retry budget.
-func (h *Home) costsRetry(end End) bool { return h.cfg.ChargeRefusals || !paced(end) }
+func (h *Home) costsRetry(end AttemptResult) bool { return h.cfg.ChargeRefusals || !paced(end) }
 
 // payRetry pays for one retry, with what is left for hedges if need be.
 //
@@ -77,18 +77,18 @@
 	return h.retryBudget.Spend() || h.hedgeBudget.Spend()
 }
 
-func attemptsFor(end End) int {
+func attemptsFor(end AttemptResult) int {
 	if paced(end) {
 		return maxPacedAttempts
 	}
 	return maxAttempts
 }
 
-func answers(end End) bool {
+func answers(end AttemptResult) bool {
 	return end.Outcome == result.OutcomeRan && end.Fault == backend.FaultNone
 }
 
-func (h *Home) noteFailure(l *leg, end End) {
+func (h *Home) noteFailure(l *leg, end AttemptResult) {
 	switch end.Outcome {
 	case result.OutcomeUnknown:
 		l.unknowns++
@@ -106,7 +106,7 @@
 //
 // Load: a service of which every server refuses. Harm prevented: a retry
 // storm, and a booking that runs twice. See retry.Budget for the limit.
-func (h *Home) mayRetry(l *leg, end End, now time.Time) bool {
+func (h *Home) mayRetry(l *leg, end AttemptResult, now time.Time) bool {
 	if end.NoRetry || h.cfg.RetryBudget <= 0 || !h.canMeet(l, now) || l.started >= attemptsFor(end) {
 		return false
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-func finalCode(l *leg, end End) result.Code {
+func finalCode(l *leg, end AttemptResult) result.Code {
 	if end.Fault == backend.FaultDeadline && l.Idempotent {
 		return result.DeadlineExceeded
 	}
--- a/home/shared.go
+++ b/home/shared.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Shared is what the homes of one host know together of their classes' service
+// LatencyStats is what the homes of one host know together of their classes' service
 // times. It is safe for concurrent use.
 //
 // Load: a search over hundreds of services, each of which a host asks some times a
@@ -15,7 +15,7 @@
 // a second, and until then it hedges late or not at all. The parts of one search
 // are alike, so a single search over 180 services tells enough. Limit: as soon as a
 // home knows the times of its own servers these count.
-type Shared struct {
+type LatencyStats struct {
 	mu      sync.Mutex
 	classes map[string]*sharedClass
 }
@@ -44,11 +44,11 @@
 	return q, true
 }
 
-// NewShared makes one that knows nothing yet.
-func NewShared() *Shared { return &Shared{classes: make(map[string]*sharedClass)} }
+// NewLatencyStats makes one that knows nothing yet.
+func NewLatencyStats() *LatencyStats { return &LatencyStats{classes: make(map[string]*sharedClass)} }
 
 // class returns the shared times of the class with the name.
-func (s *Shared) class(name string) *sharedClass {
+func (s *LatencyStats) class(name string) *sharedClass {
 	if s == nil {
 		return nil
 	}
--- a/home/stall.go
+++ b/home/stall.go
@@ -30,7 +30,7 @@
 	if slow := c.quantiles().slow; slow > 0 {
 		return slow
 	}
-	return c.spec.HedgeUnknown
+	return c.spec.DefaultHedgeDelay
 }
 
 // hedgeStalled moves attempts at stalled servers into the queue of
--- a/home/state.go
+++ b/home/state.go
@@ -47,14 +47,14 @@
 	if c.RetryBurst == 0 {
 		c.RetryBurst = retryBurst
 	}
-	if c.RetryStart == 0 {
-		c.RetryStart = 1 // a quiet service can retry its first refusal
+	if c.RetryInitialFill == 0 {
+		c.RetryInitialFill = 1 // a quiet service can retry its first refusal
 	}
-	if c.WarmAfter == 0 {
-		c.WarmAfter = warmAfter
+	if c.SlowStartReplies == 0 {
+		c.SlowStartReplies = warmAfter
 	}
-	if c.ZoneCost == 0 {
-		c.ZoneCost = zoneCost
+	if c.CrossZonePenaltySeconds == 0 {
+		c.CrossZonePenaltySeconds = zoneCost
 	}
 	return c
 }
@@ -69,19 +69,19 @@
 		legs:        make(map[LegID]*leg),
 		attempts:    make(map[ident.AttemptID]*attempt),
 		nextAttempt: firstAttempt,
-		hedgeBudget: retry.NewPartBudget(cfg.HedgeBudget, cfg.HedgeBurst, cfg.HedgeStart),
-		retryBudget: retry.NewPartBudget(cfg.RetryBudget, cfg.RetryBurst, cfg.RetryStart),
+		hedgeBudget: retry.NewPartialBudget(cfg.HedgeBudget, cfg.HedgeBurst, cfg.HedgeInitialFill),
+		retryBudget: retry.NewPartialBudget(cfg.RetryBudget, cfg.RetryBurst, cfg.RetryInitialFill),
 	}
 	h.setRates()
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.class(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.LatencyStats.class(cfg.Classes[i].Name)}
 	}
 	return h
 }
 
 func (h *Home) setRates() {
-	h.hedgeBudget.SetRate(h.cfg.HedgeRate)
-	h.retryBudget.SetRate(h.cfg.RetryRate)
+	h.hedgeBudget.SetRefillRate(h.cfg.HedgesPerSecond)
+	h.retryBudget.SetRefillRate(h.cfg.RetriesPerSecond)
 }
 
 // SetServers replaces the known backend servers of the service. A server with
@@ -121,16 +121,16 @@
 // Submit takes a leg in; it starts, waits or fails at once.
 func (h *Home) Submit(now time.Time, in Leg, acts []Action) []Action {
 	l := &leg{Leg: in, worst: result.OutcomeUnsent, order: in.Deadline}
-	if in.Due.After(now) && !in.Optional {
-		l.order = in.Due
+	if in.SoftDeadline.After(now) && !in.Optional {
+		l.order = in.SoftDeadline
 	}
 	c := &h.classes[in.Class]
 	h.wake(c, now)
 	if code, ok := h.admits(c, l, now); !ok {
 		return append(acts, Action{Kind: ActionFail, Leg: in.ID, Code: code, Outcome: l.worst, RetryAfter: h.retryAfter(now, 0)})
 	}
-	h.hedgeBudget.Pass(now)
-	h.retryBudget.Pass(now)
+	h.hedgeBudget.Refill(now)
+	h.retryBudget.Refill(now)
 	h.hedgeBudget.Earn()
 	h.retryBudget.Earn()
 	h.legs[in.ID] = l
@@ -141,7 +141,7 @@
 }
 
 // Finish reports the end of an attempt.
-func (h *Home) Finish(now time.Time, id ident.AttemptID, end End, acts []Action) []Action {
+func (h *Home) Finish(now time.Time, id ident.AttemptID, end AttemptResult, acts []Action) []Action {
 	a, ok := h.attempts[id]
 	if !ok {
 		return acts
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -32,9 +32,9 @@
 	Signers bundle.Signers
 	// IsWatcher reports whether this host watches the store for its zone.
 	IsWatcher func() bool
-	// PeersFn returns the peer listeners of the other live hosts, or the seed
+	// PeerAddresses returns the peer listeners of the other live hosts, or the seed
 	// addresses of the settings while membership knows no host.
-	PeersFn func() []string
+	PeerAddresses func() []string
 	// Now defaults to time.Now.
 	Now func() time.Time
 	// Rand is the source of jitter. The agent needs exclusive use of it.
@@ -122,29 +122,29 @@
 // ready.
 func (a *Agent) Config() *bundle.Config { return a.ready.Load() }
 
-// InForce returns the reference of the active configuration, or the zero Ref
+// ActiveRef returns the reference of the active configuration, or the zero Ref
 // if there is none yet.
-func (a *Agent) InForce() bundle.Ref {
+func (a *Agent) ActiveRef() bundle.Ref {
 	if p := a.snapshot.Load(); p != nil {
 		return p.ref
 	}
 	return bundle.Ref{}
 }
 
-// News returns the announcement of the active configuration that membership
+// ConfigUpdate returns the announcement of the active configuration that membership
 // messages carry, or nil if there is no active configuration.
-func (a *Agent) News() *memberpb.ConfigNews {
-	ref := a.InForce()
+func (a *Agent) ConfigUpdate() *memberpb.ConfigNews {
+	ref := a.ActiveRef()
 	if ref.IsZero() {
 		return nil
 	}
 	return &memberpb.ConfigNews{Generation: ref.Generation, ManifestHash: ref.Hash[:]}
 }
 
-// StoreHeardAt returns when the store last answered, or the zero time if it
+// LastStoreContact returns when the store last answered, or the zero time if it
 // never did. Hosts that aren't watchers call the store rarely, so their value
 // may be old.
-func (a *Agent) StoreHeardAt() time.Time {
+func (a *Agent) LastStoreContact() time.Time {
 	nanos := a.lastStoreReply.Load()
 	if nanos == 0 {
 		return time.Time{}
@@ -161,10 +161,10 @@
 	return ""
 }
 
-// Heard handles another host's announcement of its configuration; from is that
+// HandleConfigUpdate handles another host's announcement of its configuration; from is that
 // host's peer listener. It never blocks: if the queue is full the announcement
 // is dropped, and the next membership message repeats it.
-func (a *Agent) Heard(news *memberpb.ConfigNews, from string) {
+func (a *Agent) HandleConfigUpdate(news *memberpb.ConfigNews, from string) {
 	if news == nil || news.GetGeneration() == 0 {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 func (a *Agent) enqueueAnnouncement(ref bundle.Ref, from string) {
-	if a.InForce() == ref {
+	if a.ActiveRef() == ref {
 		return // the most frequent case
 	}
 	select {
--- a/rollout/operators.go
+++ b/rollout/operators.go
@@ -10,8 +10,8 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// Accepted is one entry of the history of accepted generations.
-type Accepted struct {
+// AcceptedGeneration is one entry of the history of accepted generations.
+type AcceptedGeneration struct {
 	Ref      bundle.Ref  `json:"ref"`
 	Parent   bundle.Ref  `json:"parent"`
 	Author   string      `json:"author"`
@@ -81,12 +81,12 @@
 }
 
 // History reads up to limit accepted generations, newest first.
-func History(ctx context.Context, store metastore.Store, limit int) ([]Accepted, error) {
+func History(ctx context.Context, store metastore.Store, limit int) ([]AcceptedGeneration, error) {
 	current, err := readHead(ctx, store)
 	if err != nil || current.ref.IsZero() {
 		return nil, err
 	}
-	var accepted []Accepted
+	var accepted []AcceptedGeneration
 	signed := current.signed
 	for len(accepted) < limit {
 		ref, m, err := refOf(signed)
@@ -104,8 +104,8 @@
 	return accepted, nil
 }
 
-func newAccepted(ref bundle.Ref, m bundle.Manifest, signed bundle.Signed) Accepted {
-	a := Accepted{
+func newAccepted(ref bundle.Ref, m bundle.Manifest, signed bundle.Signed) AcceptedGeneration {
+	a := AcceptedGeneration{
 		Ref: ref, Parent: m.Parent, Author: m.Author, Reason: m.Reason,
 		Created: m.Created, Restores: m.Restores,
 	}
--- a/rollout/peers.go
+++ b/rollout/peers.go
@@ -25,7 +25,7 @@
 
 // randomPeers returns up to n distinct random peer addresses.
 func (a *Agent) randomPeers(n int) []string {
-	addresses := append([]string(nil), a.config.PeersFn()...)
+	addresses := append([]string(nil), a.config.PeerAddresses()...)
 	n = min(n, len(addresses))
 	for i := range n {
 		j := i + int(a.jitter(time.Duration(len(addresses)-1-i)))
@@ -36,7 +36,7 @@
 
 // notifyPeers announces the active configuration to a few random peers.
 func (a *Agent) notifyPeers(t *tasks) {
-	ref := a.InForce()
+	ref := a.ActiveRef()
 	for _, address := range a.randomPeers(notifyFanout) {
 		t.run(func(ctx context.Context) { _ = a.exchangeRefs(ctx, address, ref) })
 	}
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -27,7 +27,7 @@
 		}
 		s.agent.enqueueAnnouncement(bundle.Ref{Generation: request.GetGeneration(), Hash: hash}, request.GetAddress())
 	}
-	ref := s.agent.InForce()
+	ref := s.agent.ActiveRef()
 	if ref.IsZero() {
 		return &rolloutpb.NotifyReply{}, nil
 	}
--- a/rollout/submit.go
+++ b/rollout/submit.go
@@ -53,8 +53,8 @@
 // Unwrap returns the last error of the store.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// Receipt is the result of a submit whose change was accepted.
-type Receipt struct {
+// SubmitResult is the result of a submit whose change was accepted.
+type SubmitResult struct {
 	Ref bundle.Ref `json:"ref"`
 	// Superseded reports that a later change has been accepted since.
 	Superseded bool `json:"superseded,omitempty"`
@@ -72,10 +72,10 @@
 // a *ConflictError that another change was accepted first, and an
 // *OutcomeUnknownError that the outcome is unknown. After any other error this
 // call did not replace the head.
-func Submit(ctx context.Context, store metastore.Store, signers bundle.Signers, change bundle.Change) (Receipt, error) {
+func Submit(ctx context.Context, store metastore.Store, signers bundle.Signers, change bundle.Change) (SubmitResult, error) {
 	s, err := newSubmitter(store, signers, change)
 	if err != nil {
-		return Receipt{}, err
+		return SubmitResult{}, err
 	}
 	return s.run(ctx)
 }
@@ -118,7 +118,7 @@
 	}, nil
 }
 
-func (s *submitter) run(ctx context.Context) (Receipt, error) {
+func (s *submitter) run(ctx context.Context) (SubmitResult, error) {
 	started := time.Now()
 	wait := newBackoff(operatorMinBackoff, operatorMaxBackoff)
 	next := stepReadHead
@@ -129,17 +129,17 @@
 		case err != nil && ctx.Err() == nil && retryable(err):
 			_ = pause(ctx, wait.NextBackOff())
 		case err != nil:
-			return Receipt{}, s.wrapError(err)
+			return SubmitResult{}, s.wrapError(err)
 		case next == stepAccepted:
 			s.updateRef(ctx)
-			return Receipt{
+			return SubmitResult{
 				Ref:              s.decisions.self,
 				Superseded:       s.head.ref.Generation > s.decisions.self.Generation,
 				DocumentsWritten: len(s.written),
 				Elapsed:          time.Since(started),
 			}, nil
 		case next == stepConflict:
-			return Receipt{}, s.conflict(ctx)
+			return SubmitResult{}, s.conflict(ctx)
 		}
 	}
 }
