--- a/booking/claim.go
+++ b/booking/claim.go
@@ -11,21 +11,20 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// ClaimPrefix is where claims of idempotency keys are kept in the platform.
+// ClaimPrefix is the store's key prefix for claims of idempotency keys.
 const ClaimPrefix = "booking/claims/"
 
 const (
-	// maxClaimTries bounds the writes for one claim whose outcome stays unclear.
-	maxClaimTries = 3
-	// maxClaimAnswer bounds the answer that is kept in a claim; a longer one
-	// is known only to the host that ran it.
-	maxClaimAnswer = 64 << 10
+	// maxClaimWrites bounds the writes of one claim while its outcome is unknown.
+	maxClaimWrites = 3
+	// maxClaimAnswerBytes bounds the answer stored in a claim. The outcome of a
+	// booking with a longer one is kept only by the host that ran it.
+	maxClaimAnswerBytes = 64 << 10
 )
 
-// claim binds an idempotency key to one ticket, for good. It is written once
-// by create-if-absent; later writes only add the outcome. Whoever reads it
-// sends the booking to the ticket's issuer, so the ticket is the nonce that
-// tells one claimer from another.
+// claim permanently binds an idempotency key to one ticket. It is created only
+// if absent; later writes only add the outcome. Every host that reads it sends
+// the booking to the ticket's issuer.
 type claim struct {
 	Ticket  string      `json:"ticket"`
 	Content string      `json:"content"` // hexadecimal digest of the booking
@@ -34,8 +33,8 @@
 	Answer  []byte      `json:"answer,omitempty"`
 }
 
-// claimKey names the claim's object. A key is the caller's own: two callers, or
-// two routes, never share one.
+// claimKey returns the store's key of a claim. The same idempotency key of
+// another caller or route is a different claim.
 func claimKey(caller, route, key string) string {
 	var message []byte
 	message = appendField(message, caller)
@@ -45,7 +44,8 @@
 	return ClaimPrefix + hex.EncodeToString(sum[:])
 }
 
-func contentOf(caller, route string, body []byte) Digest {
+// contentDigest returns the digest that identifies a booking's content.
+func contentDigest(caller, route string, body []byte) Digest {
 	hash := sha256.New()
 	var message []byte
 	message = appendField(message, caller)
@@ -58,47 +58,45 @@
 func parseClaim(value []byte) (claim, error) {
 	var c claim
 	if err := json.Unmarshal(value, &c); err != nil {
-		return c, errors.Wrap(err, "claim of an idempotency key")
+		return c, errors.Wrap(err, "decode claim of idempotency key")
 	}
 	return c, nil
 }
 
-// claimStep is what to do next about a claim.
+// claimStep is the next step in claiming a key.
 type claimStep uint8
 
 const (
-	claimMine    claimStep = iota // the write took effect: use the new ticket
-	claimRead                     // read the claim back to see whose it is
-	claimAgain                    // write again
-	claimRefused                  // give up: the key is surely not claimed by us
-	claimUnclear                  // give up: a claim of the key may exist
+	claimWritten  claimStep = iota // the write took effect: use the new ticket
+	claimReadBack                  // read the claim to see which ticket it has
+	claimRetry                     // write again
+	claimFailed                    // give up: the write surely had no effect
+	claimUnknown                   // give up: the key may be claimed
 )
 
-// afterWrite decides after the create-if-absent.
-//
-// A lost reply leaves open whether the claim stands. To run on would let a
-// second host, which finds no claim, run too; to refuse would strand the key.
-// Reading back settles it.
+// afterWrite returns the step after writing the claim. If the reply was lost,
+// the claim must be read: to run the booking without a claim could run it
+// twice, and to refuse it would leave a claimed key unused.
 func afterWrite(err error) claimStep {
 	switch {
 	case err == nil:
-		return claimMine
+		return claimWritten
 	case errors.Is(err, metastore.ErrUnavailable), errors.Is(err, metastore.ErrTooLarge):
-		return claimRefused
+		return claimFailed
 	default:
-		// Held by another, or ambiguous, or an error that promises nothing.
-		return claimRead
+		// Claimed by another request, or an error after which the write may
+		// have taken effect.
+		return claimReadBack
 	}
 }
 
-// afterRead decides after the claim was read back and not found, or not read;
-// tries counts the writes so far. "Not found" can be a stale read, or a write
-// that has yet to arrive, so it never allows a run: only another write with
-// the same ticket can settle it. Whichever of the two writes lands first, they
-// name one ticket.
+// afterRead returns the step after the claim was not found or could not be
+// read; tries counts the writes so far. "Not found" may be a stale read or
+// precede a delayed write, so it never allows a run. Writing the same ticket
+// again is safe, whichever write takes effect.
 func afterRead(readErr error, tries int) claimStep {
-	if errors.Is(readErr, metastore.ErrNotFound) && tries < maxClaimTries {
-		return claimAgain
+	if errors.Is(readErr, metastore.ErrNotFound) && tries < maxClaimWrites {
+		return claimRetry
 	}
-	return claimUnclear
+	return claimUnknown
 }
--- a/booking/forward.go
+++ b/booking/drpc.go
@@ -16,49 +16,48 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// DRPCPeers is Peers over drpc.
+// DRPCPeers implements Peers over DRPC.
 type DRPCPeers struct {
-	// Dial opens a connection of its own to a peer's listener; peer.Pool.Dial
-	// fits. A pooled one may have gone silent while it was idle, which would
-	// turn the booking into an unknown one at its deadline.
+	// Dial opens a new connection to a peer, as peer.Pool.Dial does. A pooled
+	// connection may have stalled while idle, which would leave the outcome of
+	// the booking unknown.
 	Dial func(ctx context.Context, address string) (drpc.Conn, error)
-	// FindIssuer returns the peer's address of that life of the host; false when
-	// another life is known, or none.
+	// FindIssuer returns the peer address of the given incarnation of the host,
+	// and whether it is known.
 	FindIssuer func(host ident.HostID, incarnation ident.Incarnation) (address string, known bool)
-	// ServingPeers returns the addresses of the peers' listeners of the other hosts
-	// that serve; nil: nothing is handed over.
+	// ServingPeers returns the peer addresses of the other serving hosts. If nil,
+	// there are no successors and no records are handed over.
 	ServingPeers func() []string
 }
 
-// successorCount is how many hosts get the records of a stopped life: two may
-// be lost before an outcome is.
+// successorCount is how many hosts get the records of a stopped incarnation.
 const successorCount = 3
 
 // Issuer implements Peers.
-func (l DRPCPeers) Issuer(host ident.HostID, incarnation ident.Incarnation) (string, bool) {
-	return l.FindIssuer(host, incarnation)
+func (p DRPCPeers) Issuer(host ident.HostID, incarnation ident.Incarnation) (string, bool) {
+	return p.FindIssuer(host, incarnation)
 }
 
-// Successors implements Peers by rendezvous hashing: a host that comes or goes
-// changes at most one successor of a life.
-func (l DRPCPeers) Successors(host ident.HostID, incarnation ident.Incarnation) []string {
-	if l.ServingPeers == nil {
+// Successors implements Peers by rendezvous hashing: a host that joins or leaves
+// changes at most one successor.
+func (p DRPCPeers) Successors(host ident.HostID, incarnation ident.Incarnation) []string {
+	if p.ServingPeers == nil {
 		return nil
 	}
-	candidates := slices.Clone(l.ServingPeers())
+	candidates := slices.Clone(p.ServingPeers())
 	key := string(host) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 	var chosen []string
 	for len(chosen) < successorCount && len(candidates) > 0 {
 		winner := rendezvous.New(candidates, xxhash.Sum64String).Lookup(key)
 		chosen = append(chosen, winner)
-		candidates = slices.DeleteFunc(candidates, func(a string) bool { return a == winner })
+		candidates = slices.DeleteFunc(candidates, func(address string) bool { return address == winner })
 	}
 	return chosen
 }
 
-// call dials the peer for one call.
-func (l DRPCPeers) call(ctx context.Context, address string, f func(bookingpb.DRPCBookingClient) error) error {
-	conn, err := l.Dial(ctx, address)
+// call makes one call on a new connection to the peer.
+func (p DRPCPeers) call(ctx context.Context, address string, f func(bookingpb.DRPCBookingClient) error) error {
+	conn, err := p.Dial(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -67,9 +66,9 @@
 }
 
 // Forward implements Peers.
-func (l DRPCPeers) Forward(ctx context.Context, address string, r Request) (Result, error) {
+func (p DRPCPeers) Forward(ctx context.Context, address string, r Request) (Result, error) {
 	var reply *bookingpb.ForwardReply
-	err := l.call(ctx, address, func(client bookingpb.DRPCBookingClient) (err error) {
+	err := p.call(ctx, address, func(client bookingpb.DRPCBookingClient) (err error) {
 		reply, err = client.Forward(ctx, &bookingpb.ForwardRequest{
 			RequestId:    r.RequestID[:],
 			Ticket:       r.Ticket,
@@ -81,13 +80,13 @@
 		return err
 	})
 	if err != nil {
-		return Result{}, errors.Wrap(err, "forward a booking")
+		return Result{}, errors.Wrap(err, "forward booking")
 	}
 	return fromReply(reply), nil
 }
 
 // HandOver implements Peers.
-func (l DRPCPeers) HandOver(ctx context.Context, address string, from Life, records Records) error {
+func (p DRPCPeers) HandOver(ctx context.Context, address string, from HostIncarnation, records Records) error {
 	message := &bookingpb.HandOverRequest{
 		Host: string(from.Host), Incarnation: uint64(from.Incarnation),
 		Issued: records.issued, Floor: records.floor,
@@ -98,17 +97,17 @@
 			Code: uint32(r.result.Code), Detail: r.result.Detail, Answer: r.result.Answer,
 		})
 	}
-	err := l.call(ctx, address, func(client bookingpb.DRPCBookingClient) error {
+	err := p.call(ctx, address, func(client bookingpb.DRPCBookingClient) error {
 		_, err := client.HandOver(ctx, message)
 		return err
 	})
-	return errors.Wrap(err, "hand bookings over")
+	return errors.Wrap(err, "hand over booking records")
 }
 
 // Recall implements Peers.
-func (l DRPCPeers) Recall(ctx context.Context, address string, from Life, sequence uint64, content Digest) (Result, bool, error) {
+func (p DRPCPeers) Recall(ctx context.Context, address string, from HostIncarnation, sequence uint64, content Digest) (Result, bool, error) {
 	var reply *bookingpb.RecallReply
-	err := l.call(ctx, address, func(client bookingpb.DRPCBookingClient) (err error) {
+	err := p.call(ctx, address, func(client bookingpb.DRPCBookingClient) (err error) {
 		reply, err = client.Recall(ctx, &bookingpb.RecallRequest{
 			Host: string(from.Host), Incarnation: uint64(from.Incarnation),
 			Sequence: sequence, Content: content[:],
@@ -116,7 +115,7 @@
 		return err
 	})
 	if err != nil || !reply.Known || reply.Outcome == nil {
-		return Result{}, false, errors.Wrap(err, "recall a booking")
+		return Result{}, false, errors.Wrap(err, "recall booking record")
 	}
 	return fromReply(reply.Outcome), true, nil
 }
@@ -129,14 +128,14 @@
 	return &bookingpb.ForwardReply{Code: uint32(outcome.Code), Detail: outcome.Detail, Answer: outcome.Answer}
 }
 
-// Register serves the desk to peers.
-func (d *Executor) Register(mux drpc.Mux) error {
-	return errors.Wrap(bookingpb.DRPCRegisterBooking(mux, server{desk: d}), "register the booking service")
+// Register adds the booking service to the peer server.
+func (e *Executor) Register(mux drpc.Mux) error {
+	return errors.Wrap(bookingpb.DRPCRegisterBooking(mux, server{executor: e}), "register booking service")
 }
 
-// server is the desk as peers call it.
+// server implements the DRPC booking service.
 type server struct {
-	desk *Executor
+	executor *Executor
 }
 
 // Forward implements the booking service.
@@ -152,7 +151,7 @@
 		return nil, errors.New("request id has the wrong length")
 	}
 	copy(r.RequestID[:], in.RequestId)
-	return toReply(s.desk.Forwarded(ctx, r)), nil
+	return toReply(s.executor.Forwarded(ctx, r)), nil
 }
 
 // HandOver implements the booking service.
@@ -168,7 +167,7 @@
 			result:  Result{Code: result.Code(r.Code), Detail: r.Detail, Answer: r.Answer},
 		}
 	}
-	s.desk.takeOver(Life{Host: ident.HostID(in.Host), Incarnation: ident.Incarnation(in.Incarnation)}, records)
+	s.executor.acceptRecords(HostIncarnation{Host: ident.HostID(in.Host), Incarnation: ident.Incarnation(in.Incarnation)}, records)
 	return &bookingpb.HandOverReply{}, nil
 }
 
@@ -178,8 +177,8 @@
 	if err != nil {
 		return nil, err
 	}
-	from := Life{Host: ident.HostID(in.Host), Incarnation: ident.Incarnation(in.Incarnation)}
-	outcome, known := s.desk.recallHere(from, in.Sequence, content)
+	from := HostIncarnation{Host: ident.HostID(in.Host), Incarnation: ident.Incarnation(in.Incarnation)}
+	outcome, known := s.executor.recallLocally(from, in.Sequence, content)
 	return &bookingpb.RecallReply{Known: known, Outcome: toReply(outcome)}, nil
 }
 
--- a/booking/handover.go
+++ b/booking/handover.go
@@ -6,62 +6,62 @@
 	"github.com/goldcrestspan/goldcrestspan/ident"
 )
 
-// stoppedLivesKept bounds the stopped lives that a host answers for.
-const stoppedLivesKept = 8
+// maxHandedOver is for how many stopped incarnations a host keeps records.
+const maxHandedOver = 8
 
-// Life is one life of a host.
-type Life struct {
+// HostIncarnation identifies one incarnation of a host.
+type HostIncarnation struct {
 	Host        ident.HostID
 	Incarnation ident.Incarnation
 }
 
-// HandOver gives the records of a stopped desk to the successors, and returns
-// how many took them. Call it after Stop and before the process ends. What is
-// not handed over is answered with "issuer gone".
-func (d *Executor) HandOver(ctx context.Context) int {
-	d.mu.Lock()
-	records, stopped := d.ledger.handOver(maxHandOverBytes)
-	d.mu.Unlock()
+// HandOver sends the records to the successors and returns how many accepted
+// them. It must be called after Stop. Tickets whose records nobody has are
+// answered with IssuerGone.
+func (e *Executor) HandOver(ctx context.Context) int {
+	e.mu.Lock()
+	records, stopped := e.ticketTable.handOver(maxHandOverBytes)
+	e.mu.Unlock()
 	if !stopped {
 		return 0
 	}
-	taken := 0
-	own := Life{Host: d.config.Host, Incarnation: d.config.Incarnation}
-	for _, address := range d.config.Peers.Successors(own.Host, own.Incarnation) {
-		if d.config.Peers.HandOver(ctx, address, own, records) == nil {
-			taken++
+	accepted := 0
+	self := HostIncarnation{Host: e.config.Host, Incarnation: e.config.Incarnation}
+	for _, address := range e.config.Peers.Successors(self.Host, self.Incarnation) {
+		if e.config.Peers.HandOver(ctx, address, self, records) == nil {
+			accepted++
 		}
 	}
-	return taken
+	return accepted
 }
 
-// takeOver keeps the records of a stopped life.
-func (d *Executor) takeOver(from Life, records Records) {
-	if from.Host == d.config.Host && from.Incarnation == d.config.Incarnation {
-		return // not stopped: this life's own ledger is the only word on it
+// acceptRecords keeps the records of a stopped incarnation.
+func (e *Executor) acceptRecords(from HostIncarnation, records Records) {
+	if from.Host == e.config.Host && from.Incarnation == e.config.Incarnation {
+		return // not stopped; its own table is authoritative
 	}
-	d.stopped.Add(from, records)
+	e.handedOver.Add(from, records)
 }
 
-// recallHere answers from the records that were handed over to this host.
-func (d *Executor) recallHere(from Life, sequence uint64, content Digest) (Result, bool) {
-	records, ok := d.stopped.Get(from)
+// recallLocally looks a ticket up in the records that this host holds.
+func (e *Executor) recallLocally(from HostIncarnation, sequence uint64, content Digest) (Result, bool) {
+	records, ok := e.handedOver.Get(from)
 	if !ok {
 		return Result{}, false
 	}
 	return records.recall(sequence, content), true
 }
 
-// recall asks those who may hold the records of the ticket's issuer, this host
-// first; false if nobody reachable does.
-func (d *Executor) recall(ctx context.Context, t ticket, r Request) (Result, bool) {
-	from := Life{Host: t.host, Incarnation: t.incarnation}
-	content := contentOf(r.Caller, r.Route, r.Body)
-	if outcome, ok := d.recallHere(from, t.sequence, content); ok {
+// recall looks a ticket up in the records of its stopped issuer, on this host
+// and then on the successors. It returns false if no reachable host has them.
+func (e *Executor) recall(ctx context.Context, t ticket, r Request) (Result, bool) {
+	from := HostIncarnation{Host: t.host, Incarnation: t.incarnation}
+	content := contentDigest(r.Caller, r.Route, r.Body)
+	if outcome, ok := e.recallLocally(from, t.sequence, content); ok {
 		return outcome, true
 	}
-	for _, address := range d.config.Peers.Successors(t.host, t.incarnation) {
-		outcome, ok, err := d.config.Peers.Recall(ctx, address, from, t.sequence, content)
+	for _, address := range e.config.Peers.Successors(t.host, t.incarnation) {
+		outcome, ok, err := e.config.Peers.Recall(ctx, address, from, t.sequence, content)
 		if err == nil && ok {
 			return outcome, true
 		}
--- a/booking/metrics.go
+++ b/booking/metrics.go
@@ -7,8 +7,8 @@
 
 const metricsPrefix = "goldcrestspan_booking_"
 
-// RegisterMetrics shows the desk's counts on the registry.
-func (d *Executor) RegisterMetrics(registry prometheus.Registerer) error {
+// RegisterMetrics registers the executor's metrics.
+func (e *Executor) RegisterMetrics(registry prometheus.Registerer) error {
 	counters := []struct {
 		name, help string
 		of         func(Stats) uint64
@@ -23,16 +23,16 @@
 	for _, c := range counters {
 		collector := prometheus.NewCounterFunc(
 			prometheus.CounterOpts{Name: metricsPrefix + c.name, Help: c.help},
-			func() float64 { return float64(c.of(d.Stats())) },
+			func() float64 { return float64(c.of(e.Stats())) },
 		)
 		if err := registry.Register(collector); err != nil {
-			return errors.Wrap(err, "metrics of bookings")
+			return errors.Wrap(err, "register booking metrics")
 		}
 	}
-	return d.registerGauges(registry)
+	return e.registerGauges(registry)
 }
 
-func (d *Executor) registerGauges(registry prometheus.Registerer) error {
+func (e *Executor) registerGauges(registry prometheus.Registerer) error {
 	gauges := []struct {
 		name, help string
 		of         func(Stats) int
@@ -43,10 +43,10 @@
 	for _, g := range gauges {
 		collector := prometheus.NewGaugeFunc(
 			prometheus.GaugeOpts{Name: metricsPrefix + g.name, Help: g.help},
-			func() float64 { return float64(g.of(d.Stats())) },
+			func() float64 { return float64(g.of(e.Stats())) },
 		)
 		if err := registry.Register(collector); err != nil {
-			return errors.Wrap(err, "metrics of bookings")
+			return errors.Wrap(err, "register booking metrics")
 		}
 	}
 	return nil
--- a/booking/records.go
+++ b/booking/records.go
@@ -6,58 +6,58 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// maxHandOverBytes bounds what one stopped life hands over; the newest records
-// come first, and the floor is raised over those that find no room.
+// maxHandOverBytes bounds the records that one incarnation hands over.
 const maxHandOverBytes = 1 << 20
 
-// recordOverhead is the size of a record beside its answer, in bytes.
+// recordOverhead is the size in bytes of a record without its answer.
 const recordOverhead = 64
 
-// record is the final word on one ticket.
+// record is the final outcome of a used ticket.
 type record struct {
 	content Digest
 	result  Result
 }
 
-// Records is what a life of a host knew of its tickets when it had stopped. It
-// never changes, since that life starts nothing any more, so any number of
-// hosts may hold it and answer from it. The right to run an unused ticket is
-// not in it and can't be handed over: the message that carries the right could
-// be lost or arrive twice, so the giver would never know whether there are no
-// holders of the right, one, or two.
+// Records holds the outcomes of a stopped incarnation's tickets. It is
+// immutable, so any number of hosts may hold it. It does not convey the right to
+// run unused tickets: with lost and duplicated messages, two hosts could get
+// that right.
 type Records struct {
 	issued  uint64
 	floor   uint64
 	records map[uint64]record
 }
 
-// handOver returns what the ledger may hand over; false while it may still start
-// a run, because then "never used" would not stay true. A run that has not
-// ended is handed over as unknown.
-func (l *ledger) handOver(maxBytes int) (Records, bool) {
-	if !l.stopping {
+// handOver returns the records of the newest tickets, up to maxBytes, and raises
+// the floor to the first that has no room. It returns false while runs may still
+// start, since "never used" would not stay true. A run in progress is recorded
+// as unknown.
+func (t *ticketTable) handOver(maxBytes int) (Records, bool) {
+	if !t.stopping {
 		return Records{}, false
 	}
-	e := Records{issued: l.issued, floor: l.floor, records: make(map[uint64]record)}
-	order := slices.Clone(l.order)
+	snapshot := Records{issued: t.issued, floor: t.floor, records: make(map[uint64]record)}
+	order := slices.Clone(t.order)
 	slices.Sort(order)
 	room := maxBytes
 	for _, sequence := range slices.Backward(order) {
-		kept := l.entries[sequence]
-		if kept.phase == phaseIdle {
-			continue // every run was surely not run: as good as never used
+		e := t.entries[sequence]
+		if e.phase == phaseIdle {
+			continue // never ran, like an unused ticket
 		}
-		room -= kept.bytes + recordOverhead
+		room -= e.bytes + recordOverhead
 		if room < 0 {
-			e.floor = sequence
+			snapshot.floor = sequence
 			break
 		}
-		e.records[sequence] = kept.final()
+		snapshot.records[sequence] = e.finalRecord()
 	}
-	return e, true
+	return snapshot, true
 }
 
-func (e *entry) final() record {
+// finalRecord returns the record of an entry for which no run will start any
+// more.
+func (e *entry) finalRecord() record {
 	if e.phase == phaseRunning {
 		return record{content: e.content, result: Result{
 			Code: result.OutcomeNotKnown, Detail: "the entry host stopped while the booking ran",
@@ -66,13 +66,13 @@
 	return record{content: e.content, result: e.result}
 }
 
-// recall answers for a ticket of the stopped life. Its mac can't be checked
-// here and need not be: a made-up ticket learns at most that nothing ran, and
-// an answer goes only to who knows caller, route and body of the booking.
-func (e *Records) recall(sequence uint64, content Digest) Result {
-	found, used := e.records[sequence]
+// recall returns the outcome of a ticket of the stopped incarnation. The MAC
+// can't be verified here and need not be: without a recorded outcome the result
+// reveals nothing, and with one the content must match.
+func (r *Records) recall(sequence uint64, content Digest) Result {
+	found, used := r.records[sequence]
 	switch {
-	case sequence <= e.floor:
+	case sequence <= r.floor:
 		return Result{Code: result.OutcomeNotKnown, Detail: "the ticket is too old; whether it ran is no longer known"}
 	case !used:
 		return Result{Code: result.TicketInvalid, Detail: "the entry host stopped before the ticket was used; take a new one"}
--- a/booking/ticket.go
+++ b/booking/ticket.go
@@ -1,7 +1,7 @@
-// Package booking runs requests that are not idempotent at most once. A ticket
-// names the life of the entry host that issued it, and only that life, from its
-// memory, may run it. Nothing leans on a lease, a clock, the store or on hosts
-// agreeing: when the issuer is gone, the outcome is unknown, and says so.
+// Package booking runs non-idempotent requests at most once. A ticket names the
+// incarnation of the entry host that issued it, and only that incarnation may
+// run it, by its records in memory. It relies on no lease, clock, store or
+// consensus: if the issuer is gone, the outcome is reported as unknown.
 package booking
 
 import (
@@ -17,17 +17,17 @@
 )
 
 const (
-	ticketFormat  = 1
-	macBytes      = 16
-	keyBytes      = 32
-	maxHostBytes  = 255
-	maxTicketText = 512
-	fixedBytes    = 1 + 1 + 8 + 8 + macBytes // format, length of the host, incarnation, sequence
+	ticketFormat     = 1
+	macBytes         = 16
+	keyBytes         = 32
+	maxHostBytes     = 255
+	maxTicketLength  = 512
+	fixedTicketBytes = 1 + 1 + 8 + 8 + macBytes // format, host length, incarnation, sequence, MAC
 )
 
 var ticketEncoding = base64.RawURLEncoding
 
-// ticket is a ticket taken apart. Only its issuer can check the mac.
+// ticket is a decoded ticket. Only its issuer can verify the MAC.
 type ticket struct {
 	host        ident.HostID
 	incarnation ident.Incarnation
@@ -35,18 +35,18 @@
 	mac         [macBytes]byte
 }
 
-// parseTicket reads the text of a ticket; it proves nothing about who made it.
+// parseTicket decodes a ticket without verifying its MAC.
 func parseTicket(text string) (ticket, error) {
 	var t ticket
-	if len(text) > maxTicketText {
+	if len(text) > maxTicketLength {
 		return t, errors.New("the ticket is too long")
 	}
 	raw, err := ticketEncoding.DecodeString(text)
-	if err != nil || len(raw) < fixedBytes || raw[0] != ticketFormat {
+	if err != nil || len(raw) < fixedTicketBytes || raw[0] != ticketFormat {
 		return t, errors.New("the ticket can't be read")
 	}
 	hostLength := int(raw[1])
-	if len(raw) != fixedBytes+hostLength {
+	if len(raw) != fixedTicketBytes+hostLength {
 		return t, errors.New("the ticket has the wrong length")
 	}
 	raw = raw[2:]
@@ -58,8 +58,8 @@
 	return t, nil
 }
 
-func (t ticket) text() string {
-	raw := make([]byte, 0, fixedBytes+len(t.host))
+func (t ticket) encode() string {
+	raw := make([]byte, 0, fixedTicketBytes+len(t.host))
 	raw = append(raw, ticketFormat, byte(len(t.host)))
 	raw = append(raw, t.host...)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(t.incarnation))
@@ -68,9 +68,9 @@
 	return ticketEncoding.EncodeToString(raw)
 }
 
-// signer makes and checks the macs of one life of a host. Its key is drawn at
-// the start and never leaves the process: no later life, and no other host,
-// can make or accept a ticket of this one.
+// signer computes and verifies the MACs of tickets. Its random key never leaves
+// the process, so that no other host or incarnation can make or accept tickets
+// of this one.
 type signer struct {
 	key [keyBytes]byte
 }
@@ -81,7 +81,7 @@
 	return s
 }
 
-// sign binds the ticket to a caller and a route.
+// sign returns the MAC that binds the ticket to a caller and a route.
 func (s *signer) sign(t ticket, caller, route string) [macBytes]byte {
 	message := make([]byte, 0, 128)
 	message = appendField(message, string(t.host))
@@ -100,7 +100,8 @@
 	return hmac.Equal(want[:], t.mac[:])
 }
 
-// appendField writes the length first, so that no two lists of fields look alike.
+// appendField appends the field with a length prefix, so that different lists
+// of fields have different encodings.
 func appendField(to []byte, field string) []byte {
 	to = binary.BigEndian.AppendUint32(to, uint32(len(field)))
 	return append(to, field...)
