--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -22,8 +22,8 @@
 	Conn(ctx context.Context, address string) drpc.Conn
 }
 
-// AgentConfig configures an Agent. Store, Peers, Signers, IsWatcher and the
-// source of peer addresses are required.
+// AgentConfig configures an Agent. Store, Peers, Signers, IsWatcher and
+// PeerAddresses are required.
 type AgentConfig struct {
 	// Address is this host's peer listener, from which other hosts pull.
 	Address string
@@ -32,8 +32,8 @@
 	Signers bundle.Signers
 	// IsWatcher reports whether this host watches the store for its zone.
 	IsWatcher func() bool
-	// PeerAddresses returns the peer listeners of the other live hosts, or the seed
-	// addresses of the settings while membership knows no host.
+	// PeerAddresses returns the peer listeners of the other live hosts, or the
+	// seed addresses of the settings while membership knows no host.
 	PeerAddresses func() []string
 	// Now defaults to time.Now.
 	Now func() time.Time
@@ -131,8 +131,8 @@
 	return bundle.Ref{}
 }
 
-// ConfigUpdate returns the announcement of the active configuration that membership
-// messages carry, or nil if there is no active configuration.
+// ConfigUpdate returns the announcement of the active configuration that
+// membership messages carry, or nil if there is no active configuration.
 func (a *Agent) ConfigUpdate() *memberpb.ConfigNews {
 	ref := a.ActiveRef()
 	if ref.IsZero() {
@@ -161,18 +161,18 @@
 	return ""
 }
 
-// HandleConfigUpdate handles another host's announcement of its configuration; from is that
-// host's peer listener. It never blocks: if the queue is full the announcement
-// is dropped, and the next membership message repeats it.
-func (a *Agent) HandleConfigUpdate(news *memberpb.ConfigNews, from string) {
-	if news == nil || news.GetGeneration() == 0 {
+// HandleConfigUpdate handles another host's announcement of its configuration;
+// from is that host's peer listener. It never blocks: if the queue is full the
+// announcement is dropped, and the next membership message repeats it.
+func (a *Agent) HandleConfigUpdate(update *memberpb.ConfigNews, from string) {
+	if update == nil || update.GetGeneration() == 0 {
 		return
 	}
-	hash, err := bundle.HashFromBytes(news.GetManifestHash())
+	hash, err := bundle.HashFromBytes(update.GetManifestHash())
 	if err != nil {
 		return
 	}
-	a.enqueueAnnouncement(bundle.Ref{Generation: news.GetGeneration(), Hash: hash}, from)
+	a.enqueueAnnouncement(bundle.Ref{Generation: update.GetGeneration(), Hash: hash}, from)
 }
 
 func (a *Agent) enqueueAnnouncement(ref bundle.Ref, from string) {
