--- a/discover/follower.go
+++ b/discover/follower.go
@@ -342,7 +342,7 @@
 func (f *Follower) applyNewer(received changes, address string) bool {
 	changed := f.mirror.ApplyNewer(received.objects)
 	if changed {
-		f.config.Logger.Info("applied writes from a peer that the store has lost", append(f.logFields(nil), zap.String("peer", address))...)
+		f.config.Logger.Info("heard from a peer what the store has lost", append(f.logFields(nil), zap.String("peer", address))...)
 	}
 	f.publish(changed)
 	return changed
