--- a/home/changes.go
+++ b/home/changes.go
@@ -2,63 +2,67 @@
 
 import "time"
 
-// ServerState is what a home believes of a backend server.
+// ServerState is a home's assessment of a backend server.
 type ServerState uint8
 
-// The states of a server; every server begins as healthy.
+// The states of a server; the initial state is healthy.
 const (
 	ServerHealthy ServerState = iota
-	// ServerStalled: what runs there is older than requests usually take,
-	// and nothing was answered since; other servers are preferred.
+	// ServerStalled means that the running requests are older than usual and nothing
+	// has been answered since; other servers are preferred.
 	ServerStalled
-	// ServerRefuses: it refused several times in a row and is asked ever less.
+	// ServerRefuses means several consecutive refusals.
 	ServerRefuses
-	// ServerEjected: it failed several times in a row and gets nothing for a while.
+	// ServerEjected means several consecutive faults; the server gets no requests for a
+	// time.
 	ServerEjected
-	// ServerDraining: it has said that it leaves, and gets nothing any more.
+	// ServerDraining means that the server announced its stop; it gets no more
+	// requests.
 	ServerDraining
-	// ServerCold: it has just started and gets little, or nothing from this host.
+	// ServerCold means that the server has just started and gets few requests, or none
+	// from this host.
 	ServerCold
 )
 
-// String names the state as logs do.
+// String returns the name used in logs.
 func (s ServerState) String() string {
 	return [...]string{"healthy", "stalled", "refuses", "ejected", "draining", "cold"}[s]
 }
 
-// ServerChange is a change of what the home believes, with what decided it.
+// ServerChange is a state change of a server, with the values that caused it.
 type ServerChange struct {
 	Server   string
 	State    ServerState
-	Faults   int // in a row
-	Refusals int // in a row
-	Running  int // attempts of this home there
-	// Until is when it gets work again; zero: at once, or not any more.
+	Faults   int // consecutive
+	Refusals int // consecutive
+	Running  int // attempts of this home on the server
+	// Until is when the server gets requests again; zero means at once, or not any
+	// more.
 	Until time.Time
 }
 
-// noteStates gathers what has changed since the last look.
-func (h *Home) noteStates(now time.Time) {
+// recordChanges records the state changes since the last dispatch.
+func (h *Home) recordChanges(now time.Time) {
 	for _, s := range h.servers {
-		state := h.stateOf(s, now)
-		if state == s.noted {
+		state := h.serverState(s, now)
+		if state == s.recordedState {
 			continue
 		}
-		s.noted = state
-		h.changes = append(h.changes, ServerChange{
+		s.recordedState = state
+		h.pendingChanges = append(h.pendingChanges, ServerChange{
 			Server: s.spec.Name, State: state, Faults: s.faults, Refusals: s.refusals,
-			Running: len(s.running), Until: s.idleUntil(now),
+			Running: len(s.running), Until: s.unavailableUntil(now),
 		})
 	}
 }
 
-func (h *Home) stateOf(s *server, now time.Time) ServerState {
+func (h *Home) serverState(s *server, now time.Time) ServerState {
 	switch {
 	case s.draining:
 		return ServerDraining
 	case s.ejections > 0:
 		return ServerEjected
-	case s.refusals >= refusalsInARow:
+	case s.refusals >= minConsecutiveFailures:
 		return ServerRefuses
 	case h.stalled(s, now):
 		return ServerStalled
@@ -69,17 +73,18 @@
 	}
 }
 
-// idleUntil is until when the server gets nothing; zero: it may get work now.
-func (s *server) idleUntil(now time.Time) time.Time {
+// unavailableUntil returns when the server gets requests again; zero means that it may
+// get requests now.
+func (s *server) unavailableUntil(now time.Time) time.Time {
 	if at := s.availableAt(now); at.After(now) {
 		return at
 	}
 	return time.Time{}
 }
 
-// TakeChanges returns what has changed of the servers since the last call.
+// TakeChanges returns the state changes of servers since the last call.
 func (h *Home) TakeChanges() []ServerChange {
-	changes := h.changes
-	h.changes = nil
+	changes := h.pendingChanges
+	h.pendingChanges = nil
 	return changes
 }
--- a/home/cold.go
+++ b/home/cold.go
@@ -6,24 +6,27 @@
 	"github.com/goldcrestspan/goldcrestspan/backend"
 )
 
-// cold reports whether what the server gets is bounded since it has just started, by
-// its own word or since it could not be reached a moment ago.
+// cold reports whether requests to the server are limited because it has just started,
+// by its own report or because it was unreachable recently.
 func (s *server) cold(now time.Time) bool {
 	return s.spec.Warmup.For > 0 && now.Before(s.coldUntil())
 }
 
 func (s *server) coldUntil() time.Time {
-	if s.restartedUntil.After(s.spec.ColdUntil) {
-		return s.restartedUntil
+	if s.assumedColdUntil.After(s.spec.ColdUntil) {
+		return s.assumedColdUntil
 	}
 	return s.spec.ColdUntil
 }
 
-// held reports whether the server gets nothing from this home while it is cold.
-func (s *server) held(now time.Time) bool { return s.cold(now) && s.spec.Warmup.PerSecond == 0 }
+// warmedElsewhere reports whether the server is cold and is warmed by another host, so
+// that this home sends it nothing.
+func (s *server) warmedElsewhere(now time.Time) bool {
+	return s.cold(now) && s.spec.Warmup.PerSecond == 0
+}
 
-// warmerAt is when the bound on a cold server lets the next attempt start.
-func (s *server) warmerAt(now time.Time) time.Time {
+// coldLimitUntil returns when the limit on a cold server admits the next attempt.
+func (s *server) coldLimitUntil(now time.Time) time.Time {
 	if !s.cold(now) {
 		return time.Time{}
 	}
@@ -31,46 +34,40 @@
 	if s.spec.Warmup.PerSecond == 0 {
 		return until
 	}
-	if next := s.starts.NextAt(s.spec.Warmup.PerSecond); next.Before(until) {
+	if next := s.coldStarts.NextAt(s.spec.Warmup.PerSecond); next.Before(until) {
 		return next
 	}
 	return until
 }
 
-// noteStart counts an attempt against the bound on a cold server.
-func (s *server) noteStart(now time.Time) {
+// recordStart counts an attempt against the limit on a cold server.
+func (s *server) recordStart(now time.Time) {
 	if s.spec.Warmup.For > 0 {
-		s.starts.Note(now, s.spec.Warmup.PerSecond)
+		s.coldStarts.Note(now, s.spec.Warmup.PerSecond)
 	}
 }
 
-// noteUnreachable takes the server for restarted.
-//
-// Failure: the servers of a zone crash and come back together under their ids. Until
-// the store tells of the new starts, the first answer ends all suspicion, the full load
-// returns within milliseconds, and they crash again. The guard holds because a server
-// whose connections were refused counts as cold until a start at that moment would be
-// warm.
-func (s *server) noteUnreachable(now time.Time, end End) {
+// assumeRestarted treats an unreachable server as cold. A crashed server may answer
+// before its new incarnation is known here, and the full load would crash it again.
+func (s *server) assumeRestarted(now time.Time, end End) {
 	if end.Fault == backend.FaultUnreachable {
-		s.restartedUntil = now.Add(s.spec.Warmup.For)
+		s.assumedColdUntil = now.Add(s.spec.Warmup.For)
 	}
 }
 
-// allHeld reports whether every server in service is cold and warmed by other hosts.
-//
-// Load: all servers of a service come back cold. Harm prevented: legs wait here for
-// seconds though none can start, and their callers don't go to a host that may serve.
-func (h *Home) allHeld(now time.Time) bool {
-	held := false
+// allWarmedElsewhere reports whether every server in service is cold and warmed by
+// other hosts. Legs then fail at once, so that callers can go to a host that may serve
+// them.
+func (h *Home) allWarmedElsewhere(now time.Time) bool {
+	found := false
 	for _, s := range h.servers {
 		if !s.inService() {
 			continue
 		}
-		if !s.held(now) {
+		if !s.warmedElsewhere(now) {
 			return false
 		}
-		held = true
+		found = true
 	}
-	return held
+	return found
 }
--- a/home/forecast.go
+++ b/home/forecast.go
@@ -6,64 +6,60 @@
 	legs "github.com/goldcrestspan/goldcrestspan/leg"
 )
 
-// Forecast says how a leg of the class that came now would fare. An answer that
-// can't come in time is better known before the legs of its query are sent than
-// after they have used the slots of twenty services.
-func (h *Home) Forecast(now time.Time, position int) legs.Forecast {
-	c := &h.classes[position]
-	return legs.Forecast{Wait: h.waitFor(c, now), Run: h.runTime(c, now), Silent: h.silent(now)}
+// Forecast predicts the queueing and service time of a leg of the class that arrived
+// now, so that a query that can't be answered in time is refused before any of its legs
+// are sent.
+func (h *Home) Forecast(now time.Time, classIndex int) legs.Forecast {
+	c := &h.classes[classIndex]
+	return legs.Forecast{Wait: h.queueTime(c, now), Run: h.expectedRunTime(c, now), Silent: h.unresponsive(now)}
 }
 
 const (
-	// silentAfter is how long a service must have answered nothing, while each of
-	// its servers owes an answer for as long or takes nothing, before it counts as
-	// silent. It is twice the longest pause of the users' healthy servers.
-	silentAfter = 500 * time.Millisecond
-	// silentFactor: and not before this many times the time of its slow requests.
-	silentFactor = 8
+	// unresponsiveAfter is how long a service must have answered nothing, with every
+	// server overdue or unavailable, to count as unresponsive. It is above the usual
+	// pauses of healthy servers.
+	unresponsiveAfter = 500 * time.Millisecond
+	// unresponsiveFactor raises unresponsiveAfter to this multiple of the slow
+	// quantile.
+	unresponsiveFactor = 8
 )
 
-// silent reports whether no server of the service answers or takes a leg.
-//
-// Load: several services lose all their servers at once, some without a word.
-// Harm prevented: searches that can't do without them use the others' slots, and
-// wait for their whole two seconds to hear that they failed. Limit: as soon as one
-// server may be tried again the service is not silent, so that the next search
-// finds out.
-func (h *Home) silent(now time.Time) bool {
-	if !h.known {
+// unresponsive reports whether no server of the service answers or accepts legs. It is
+// false as soon as one server may be tried again, so that the next leg probes it.
+func (h *Home) unresponsive(now time.Time) bool {
+	if !h.hasServers {
 		return false
 	}
-	if !h.anyInService() || h.allHeld(now) || h.allRefuse(now) {
+	if !h.anyInService() || h.allWarmedElsewhere(now) || h.allRefusing(now) {
 		return true
 	}
-	if now.Sub(h.lastGood) < silentAfter {
+	if now.Sub(h.lastAnswer) < unresponsiveAfter {
 		return false
 	}
 	for _, s := range h.servers {
-		if s.inService() && s.usable(now) && !h.owes(s, now) {
+		if s.inService() && s.usable(now) && !h.hasOverdue(s, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// owes reports whether the server has a request that is older than any should be.
-// Of a class whose times are not known that can't be said.
-func (h *Home) owes(s *server, now time.Time) bool {
+// hasOverdue reports whether the server has a request far older than the slow quantile.
+// It is false for classes whose service times aren't known.
+func (h *Home) hasOverdue(s *server, now time.Time) bool {
 	for _, a := range s.running {
 		slow := h.classes[a.leg.Class].quantiles().slow
-		if slow > 0 && !a.ahead && now.Sub(a.started) >= max(silentAfter, silentFactor*slow) {
+		if slow > 0 && !a.pipelined && now.Sub(a.started) >= max(unresponsiveAfter, unresponsiveFactor*slow) {
 			return true
 		}
 	}
 	return false
 }
 
-// waitFor is how long a leg that came now would wait for a slot, behind those of
-// its class that are still counted on to be in time.
-func (h *Home) waitFor(c *class, now time.Time) time.Duration {
-	if !h.known || !h.anyInService() {
+// queueTime predicts how long a leg that arrived now would wait for a slot, behind
+// those of its class that are on time.
+func (h *Home) queueTime(c *class, now time.Time) time.Duration {
+	if !h.hasServers || !h.anyInService() {
 		return 0
 	}
 	if at := h.nextAvailable(now); at.After(now) {
@@ -75,56 +71,52 @@
 		}
 		return h.slotInterval(c, now)
 	}
-	return time.Duration(c.timelyWaiting()+1) * h.startInterval(c, now)
+	return time.Duration(c.onTimeWaiting()+1) * h.startInterval(c, now)
 }
 
-// slotInterval is the mean time until one of all slots is free, if the class had
-// them all.
+// slotInterval returns the mean time between two free slots if the class had all slots.
 func (h *Home) slotInterval(c *class, now time.Time) time.Duration {
-	return seconds(c.prior(now) / float64(max(1, h.totalSlots)))
+	return seconds(c.meanSeconds(now) / float64(max(1, h.totalSlots)))
 }
 
-// startInterval is the time between two starts of waiting legs: the measured pace, or
-// the time since the last start where that is already longer.
-//
-// Load: every server of a service falls silent with its slots full. Harm
-// prevented: nothing starts, so no start tells that the pace is gone, and queries
-// are sent into a queue that does not move.
+// startInterval returns the time between two starts of waiting legs: the measured
+// interval, or the time since the last start if that is longer, so that a service that
+// stops answering isn't predicted from its past rate.
 func (h *Home) startInterval(c *class, now time.Time) time.Duration {
-	usual := seconds(c.pace.seconds)
-	if usual == 0 {
-		usual = h.slotInterval(c, now)
+	interval := seconds(c.startRate.seconds)
+	if interval == 0 {
+		interval = h.slotInterval(c, now)
 	}
-	if !c.pace.backlog {
-		return usual
+	if !c.startRate.backlog {
+		return interval
 	}
-	return max(usual, now.Sub(c.pace.last))
+	return max(interval, now.Sub(c.startRate.last))
 }
 
-func (c *class) timelyWaiting() (n int) {
+func (c *class) onTimeWaiting() (n int) {
 	for _, l := range c.waiting.legs {
-		if l.timely() {
+		if l.onTime() {
 			n++
 		}
 	}
 	return n
 }
 
-// runTime is what a leg takes once it has a slot: typically, or longer where
-// every server that may get it is slow.
-func (h *Home) runTime(c *class, now time.Time) time.Duration {
+// expectedRunTime predicts a leg's service time: the typical one, or longer if every
+// usable server is slow.
+func (h *Home) expectedRunTime(c *class, now time.Time) time.Duration {
 	least := 0.0
-	prior := c.prior(now)
+	prior := c.meanSeconds(now)
 	for _, s := range h.servers {
 		if !s.usable(now) {
 			continue
 		}
-		if expected := s.expected(c.index, prior, now); least == 0 || expected < least {
+		if expected := s.expectedSeconds(c.index, prior, now); least == 0 || expected < least {
 			least = expected
 		}
 	}
 	return max(c.quantiles().typical, seconds(least))
 }
 
-// seconds turns a time in seconds into a Duration.
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/home/home.go
+++ b/home/home.go
@@ -1,11 +1,11 @@
-// Package home owns the decisions of a service's home: the one entry host that
-// counts the slots of the service's backend servers exactly, keeps the queue
-// of legs, places each on a server, hedges and retries. It is pure: time is
-// passed in, and what is to be done comes back as actions, so that all of it
-// runs in tests without sockets.
+// Package home makes the scheduling decisions of a service's home: the entry host that
+// counts the slots of the service's backend servers, queues legs, places each on a
+// server, hedges and retries. It does no I/O and reads no clock: the time is passed in,
+// and what has to be done is returned as actions.
 //
-// Two hosts may believe to be the home at once while their views differ. That
-// over-commits the servers for a moment, and they shed; no promise leans on it.
+// While membership views differ, two hosts may act as the home of a service at once.
+// They overcommit the servers for a moment, and the servers shed the excess;
+// correctness doesn't depend on a single home.
 package home
 
 import (
@@ -16,52 +16,52 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// LegID names a leg at this home.
+// LegID identifies a leg at this home.
 type LegID uint64
 
 // Leg is one shard's part of a request.
 type Leg struct {
 	ID          LegID
 	Request     ident.RequestID // breaks ties between equal deadlines
-	Class       int             // position in the bundle's classes
+	Class       int             // index into Config.Classes
 	Caller      string
 	Deadline    time.Time
 	Idempotent  bool
 	Fingerprint uint64
-	Bytes       int // of the body, for the bound of the queue
-	// Due is when the answer loses most of its worth; zero: at the deadline.
-	// Waiting legs go in the order of what they are due, and one that has
-	// missed it stands behind those that can still make it.
+	Bytes       int // size of the body, counted against Config.MaxQueueBytes
+	// Due is the soft deadline, after which the answer has lost most of its value; zero
+	// means the deadline. Waiting legs are ordered by it, and a leg that can't meet it
+	// any more goes behind those that can.
 	Due time.Time
-	// Optional: the query can do without this leg's answer.
+	// Optional is set if the query can be answered without this leg.
 	Optional bool
-	// MaxServers bounds the servers that may run the leg; 0: no bound.
+	// MaxServers limits the number of servers that may run the leg; 0 means no limit.
 	MaxServers int
-	// Only names the one server that may run the leg; empty: any.
+	// Only names the only server that may run the leg; empty means any.
 	Only string
-	// Regions are those whose servers may run the leg; empty: any.
+	// Regions are the regions whose servers may run the leg; empty means any.
 	Regions []string
-	// Forwarded requests are tried again on another server also after one that
-	// ran them has failed, if they are idempotent.
+	// Forwarded is set for requests passed through as received. If idempotent, they are
+	// retried on another server even after a server ran them and failed.
 	Forwarded bool
 }
 
-// ActionKind says what the shell has to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	// ActionStart: send the leg to Server as Attempt.
+	// ActionStart sends the leg to Server as Attempt.
 	ActionStart ActionKind = iota
-	// ActionCancel: cancel Attempt; its end is still reported through Finish.
+	// ActionCancel cancels Attempt; its end must still be reported through Finish.
 	ActionCancel
-	// ActionAnswer: Attempt's reply is the leg's answer; the leg is done.
+	// ActionAnswer completes the leg with the reply of Attempt.
 	ActionAnswer
-	// ActionFail: the leg is done without an answer, see Code and Outcome.
+	// ActionFail completes the leg without an answer; see Code and Outcome.
 	ActionFail
 )
 
-// Action is one thing for the shell to do, in the order given.
+// Action is one step for the caller to carry out. Actions are carried out in order.
 type Action struct {
 	Kind       ActionKind
 	Leg        LegID
@@ -70,90 +70,87 @@
 	Hedge      bool   // ActionStart: the attempt is a hedge
 	Retry      bool   // ActionStart: the attempt is a retry
 	Code       result.Code
-	Outcome    result.Outcome // of the whole leg: NotRun only if every attempt was
+	Outcome    result.Outcome // of the whole leg; NotRun only if no attempt ran
 	RetryAfter time.Duration
 }
 
-// End is how an attempt ended, as its reply or its failure told.
+// End is how an attempt ended.
 type End struct {
 	Outcome    result.Outcome
 	Fault      backend.Fault
-	Load       backend.Load // valid when HasLoad
+	Load       backend.Load // valid if HasLoad
 	HasLoad    bool
 	RetryAfter time.Duration
-	// NoRetry: the request may have crashed the server, and would crash the next.
+	// NoRetry is set for a request suspected of having crashed the server.
 	NoRetry bool
 }
 
-// ServerSpec is a backend server of the home's service.
+// ServerSpec describes a backend server of the home's service.
 type ServerSpec struct {
 	Name        string
 	Incarnation uint64
 	SameZone    bool
 	Leaving     bool
-	Slots       int // 0: Config.SlotsPerServer
+	Slots       int // 0 means Config.SlotsPerServer
 	Region      string
-	// ColdUntil is until when the server has said to be cold after its start.
+	// ColdUntil is the end of the cold period that the server reported at its start.
 	ColdUntil time.Time
-	// Warmup bounds what the server gets while it is cold.
+	// Warmup limits the requests to the server while it is cold.
 	Warmup Warmup
 }
 
-// Warmup bounds what this home may send to a server while it is cold; the zero value:
-// no bound.
+// Warmup limits what this home sends to a server while it is cold. The zero value is no
+// limit.
 type Warmup struct {
-	For       time.Duration // a server is cold for so long after a start; 0: no bound
-	PerSecond int           // starts in any second; 0: none, another host warms it
+	For       time.Duration // time for which a server counts as cold after its start; 0 means no limit
+	PerSecond int           // attempts in any second; 0 means none, another host warms the server
 }
 
-// ClassSpec is a class as the home needs it.
+// ClassSpec configures one class of legs.
 type ClassSpec struct {
 	Name          string
 	ReservedShare float64
 	MaxQueue      int
-	// HedgeUnknown is the age at which an attempt is hedged while too little is
-	// known of the class's service times; 0: not at all.
+	// HedgeUnknown is the hedge delay used until the class's service times are known; 0
+	// disables hedging until then.
 	HedgeUnknown time.Duration
 }
 
-// Config holds the limits of one home.
+// Config holds the limits of a home.
 type Config struct {
 	Service        string
 	SlotsPerServer int
 	Classes        []ClassSpec
-	HedgeBudget    float64 // extra attempts per leg; 0: no hedging
-	HedgeQuantile  float64 // of the service time, past which a leg may be hedged
-	RetryBudget    float64 // retries per leg; 0: no retries
-	MaxQueueBytes  int     // of waiting bodies of all classes; 0: defaultMaxQueueBytes
-	// HedgeBurst and RetryBurst are how many hedges and retries may be sent
-	// beyond the budgets' rates; 0: hedgeBurst and retryBurst.
+	HedgeBudget    float64 // hedges per leg; 0 disables hedging
+	HedgeQuantile  float64 // quantile of the service time after which a leg may be hedged
+	RetryBudget    float64 // retries per leg; 0 disables retries
+	MaxQueueBytes  int     // total size of the waiting bodies; 0 means defaultMaxQueueBytes
+	// HedgeBurst and RetryBurst are the burst sizes of the hedge and retry budgets; 0
+	// means defaultHedgeBurst and defaultRetryBurst.
 	HedgeBurst, RetryBurst float64
-	// HedgeStart and RetryStart are the parts of the bursts that are there at the start,
-	// 0 to 1.
+	// HedgeStart and RetryStart are the fractions of the bursts available at the start,
+	// from 0 to 1.
 	HedgeStart, RetryStart float64
-	// HedgeRate and RetryRate are how many may be sent a second whatever the load.
+	// HedgeRate and RetryRate are the hedges and retries per second that are allowed
+	// whatever the load.
 	HedgeRate, RetryRate float64
-	// ChargeRefusals makes an attempt after a refusal cost a retry: for
-	// services whose operator counts each arrival beyond the first.
+	// ChargeRefusals charges the retry budget also for an attempt after a refusal, for
+	// services that count every request they receive.
 	ChargeRefusals bool
-	// WarmAfter is how many answers a new server gives before it gets as much at
-	// once as the others; 0: warmAfter.
+	// WarmAfter is the number of answers after which a new server gets its full
+	// concurrency; 0 means defaultSlowStartAnswers.
 	WarmAfter int
-	// ShareSlots leaves the slots that the servers report as used by others to
-	// them: for services that several hosts send to at once. With a home on one
-	// host the report only lags behind what the home knows itself.
-	//
-	// Load: three hosts send to servers of two slots, above their capacity. Harm
-	// prevented: each fills the slots and sends one ahead, and a server's own
-	// queue of seven, in the order of arrival, uses up a target of 200 ms. Each
-	// host keeps one, so that none is starved by the others.
+	// ShareSlots leaves the slots that the servers report as used by other hosts to
+	// those, for services that several hosts send to at once. At least one slot per
+	// server stays usable, so that no host is starved.
 	ShareSlots bool
-	// AvoidStalled sends nothing to a server that seems stalled while
-	// another is healthy, and hedges what runs there.
+	// AvoidStalled sends nothing to a server that seems stalled while another is
+	// healthy, and hedges the attempts that run on it.
 	AvoidStalled bool
-	// Shared is what all homes of this host know together; nil: each learns alone.
+	// Shared holds the service times observed by all homes of this host; nil means that
+	// each home uses only its own.
 	Shared *Shared
-	// ZoneCost is what a hop to another availability zone counts for, in
-	// seconds of finish time; 0: zoneCost.
+	// ZoneCost is added to the expected finish time on a server of another availability
+	// zone, in seconds; 0 means defaultCrossZoneSeconds.
 	ZoneCost float64
 }
--- a/home/leg.go
+++ b/home/leg.go
@@ -8,53 +8,53 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// maxRunning is how many attempts of one leg may run at once: the first and
-// its hedge.
+// maxRunning is the number of attempts of one leg that may run at once: the first one
+// and its hedge.
 const maxRunning = 2
 
-// queued says in which queue of its class a leg stands.
-type queued uint8
+// queueState is the queue of its class in which a leg waits.
+type queueState uint8
 
 const (
-	notQueued queued = iota
-	inWaiting
-	inHedges
+	notQueued queueState = iota
+	inWaitingQueue
+	inHedgeQueue
 )
 
-// leg is a leg that is not done.
+// leg is a leg that isn't done.
 type leg struct {
 	Leg
-	place    queued
-	attempts [maxRunning]*attempt
-	avoid    *server // failed it last, or lacks its snapshot
-	worst    result.Outcome
-	started  int // attempts so far
-	unknowns int // attempts that ended unknown
-	exposed  int // attempts that ended and may have run
-	order    time.Time
-	hedged   bool // a hedge was sent
-	done     bool
-	ran      result.Code // why an attempt that ran gave no answer
+	queuedIn     queueState
+	attempts     [maxRunning]*attempt
+	avoidServer  *server // failed last, or lacks the snapshot
+	outcome      result.Outcome
+	attemptCount int // attempts sent
+	unknownCount int // attempts that ended with an unknown outcome
+	possibleRuns int // ended attempts that may have run
+	orderBy      time.Time
+	hedged       bool // a hedge was sent
+	done         bool
+	ranCode      result.Code // why an attempt that ran gave no answer
 }
 
-// attempt is one sending of a leg that has not ended.
+// attempt is an attempt that hasn't ended.
 type attempt struct {
-	id         ident.AttemptID
-	leg        *leg
-	server     *server
-	started    time.Time
-	charged    float64 // seconds charged to the class
-	hedge      bool
-	ahead      bool // waits at the server for a slot, as far as is known
-	wasAhead   bool
-	cancelled  bool
-	watched    bool
-	prev, next *attempt
+	id             ident.AttemptID
+	leg            *leg
+	server         *server
+	started        time.Time
+	chargedSeconds float64 // seconds of slot time charged to the class
+	hedge          bool
+	pipelined      bool // presumably still waits for a slot at the server
+	wasPipelined   bool
+	cancelled      bool
+	hedgeCandidate bool
+	prev, next     *attempt
 }
 
-// ran is the slot time that the attempt used so far.
-func (a *attempt) ran(now time.Time) time.Duration {
-	if a.ahead {
+// elapsed returns the slot time used so far.
+func (a *attempt) elapsed(now time.Time) time.Duration {
+	if a.pipelined {
 		return 0
 	}
 	return now.Sub(a.started)
@@ -70,21 +70,18 @@
 	return n
 }
 
-// serversLeft is how many more servers may run the leg.
-//
-// Failure: a request that is slow or fails everywhere is sent to one server
-// after the other, and each works on it. Attempts that surely did not run
-// count for nothing.
+// serversLeft returns how many more servers may run the leg. Attempts that certainly
+// didn't run don't count.
 func (l *leg) serversLeft() int {
 	if l.MaxServers == 0 {
 		return maxAttempts
 	}
-	return l.MaxServers - l.exposed - l.runningCount()
+	return l.MaxServers - l.possibleRuns - l.runningCount()
 }
 
-// avoids reports whether the leg must or should not go to the server: one that is
-// not for it, one that runs it already, or the one that failed it while there are others.
-func (l *leg) avoids(s *server, usable int) bool {
+// excludes reports whether the leg must not go to the server: it isn't allowed to, has
+// an attempt there already, or failed there last while there are other servers.
+func (l *leg) excludes(s *server, usable int) bool {
 	if l.Only != "" && l.Only != s.spec.Name {
 		return true
 	}
@@ -96,7 +93,7 @@
 			return true
 		}
 	}
-	return l.avoid == s && usable > 1
+	return l.avoidServer == s && usable > 1
 }
 
 func (l *leg) addAttempt(a *attempt) {
@@ -116,10 +113,10 @@
 	}
 }
 
-// note keeps the least certain outcome of all attempts.
-func (l *leg) note(o result.Outcome) {
-	if uncertainty(o) > uncertainty(l.worst) {
-		l.worst = o
+// recordOutcome keeps the least certain outcome of all attempts.
+func (l *leg) recordOutcome(o result.Outcome) {
+	if uncertainty(o) > uncertainty(l.outcome) {
+		l.outcome = o
 	}
 }
 
@@ -136,14 +133,14 @@
 	}
 }
 
-// failCode is the code a failed leg gets. A code that claims "not run" is only
-// given when every attempt was unsent or refused.
-func (l *leg) failCode(whenNotRun result.Code) result.Code {
+// failureCode returns the result code of a failed leg. A code that means "not run" is
+// given only if every attempt was unsent or refused.
+func (l *leg) failureCode(whenNotRun result.Code) result.Code {
 	switch {
-	case l.worst.NotRun():
+	case l.outcome.NotRun():
 		return whenNotRun
-	case l.worst == result.OutcomeRan:
-		return l.ran
+	case l.outcome == result.OutcomeRan:
+		return l.ranCode
 	default:
 		return result.OutcomeNotKnown
 	}
--- a/home/place.go
+++ b/home/place.go
@@ -7,66 +7,56 @@
 )
 
 const (
-	// zoneCost is what a hop to another zone counts for, in seconds: there and
-	// back at 0.5 ms. It decides between servers that are equal otherwise, and
-	// gives way as soon as the near server has more to do.
-	zoneCost = 0.001
-	// faultCost is what a lost answer counts for, in seconds of finish time. A leg may
-	// run on two servers: each lost answer costs it one, and the part is missing for
-	// good when both lose it. A server that loses one in six gives way to a far one.
-	faultCost = 0.1
-	// slowFactor: a free server is passed over for a busy one only when its
-	// requests take this many times longer. Below it the difference may be
-	// chance, and an idle slot is the greater loss.
-	slowFactor = 2
-	// maxScan bounds how deep in a queue a slow server looks for a leg that it
-	// would still finish sooner.
-	maxScan = 48
+	// defaultCrossZoneSeconds is added to the expected finish time on a server in
+	// another zone: about one round trip.
+	defaultCrossZoneSeconds = 0.001
+	// faultPenaltySeconds is added to the expected finish time in proportion to the
+	// fault rate, so that a server that loses answers gives way to one in another zone.
+	faultPenaltySeconds = 0.1
+	// slowServerRatio is the ratio of service times from which a free server is left
+	// idle and the leg waits for a busy one. Smaller differences may be chance.
+	slowServerRatio = 2
+	// maxQueueScan limits how many waiting legs are considered for a server.
+	maxQueueScan = 48
 )
 
-// place chooses the server for a leg with ahead others before it, or nil when
-// it should wait.
-//
-// Load: one server of a service is ten times slow but often has a free slot.
-// Harm prevented: the slow server looks idle by count, takes every second leg,
-// and each query waits for it. Rule: least expected finish, work ahead times
-// the server's own observed service time. A free slow server is left idle as
-// long as waiting for a fast one ends sooner, so it helps out exactly when the
-// queue is long. It allocates nothing and looks at each server once.
-func (h *Home) place(c *class, l *leg, ahead int, now time.Time) *server {
-	prior := c.prior(now)
-	usable := h.usableFor(l, now)
+// place chooses the server with the earliest expected finish for a leg with legsAhead
+// others before it in the queue, or nil if the leg should wait. A free but slow server
+// stays idle as long as waiting for a faster one ends sooner. It doesn't allocate.
+func (h *Home) place(c *class, l *leg, legsAhead int, now time.Time) *server {
+	prior := c.meanSeconds(now)
+	usableCount := h.usableServersFor(l, now)
 	var best *server
-	var bestFinish, bestTime, waitFinish, waitTime float64
+	var bestFinish, bestSeconds, busyFinish, busySeconds float64
 	for _, s := range h.servers {
-		if !s.usable(now) || l.avoids(s, usable) {
+		if !s.usable(now) || l.excludes(s, usableCount) {
 			continue
 		}
-		limit := s.limit(h.anyWarm)
-		expected := s.expected(c.index, prior, now)
-		if usable > 1 && h.stalled(s, now) {
+		limit := s.concurrency(h.anyWarm)
+		expected := s.expectedSeconds(c.index, prior, now)
+		if usableCount > 1 && h.stalled(s, now) {
 			continue
 		}
-		if len(s.running) >= s.room(c.long, h.anyWarm, now) {
-			finish := expected * (1 + float64(ahead+1)/float64(limit))
-			if waitTime == 0 || finish < waitFinish {
-				waitFinish, waitTime = finish, expected
+		if len(s.running) >= s.capacity(c.longWork, h.anyWarm, now) {
+			finish := expected * (1 + float64(legsAhead+1)/float64(limit))
+			if busySeconds == 0 || finish < busyFinish {
+				busyFinish, busySeconds = finish, expected
 			}
 			continue
 		}
-		finish := h.freeFinish(s, expected, limit, now)
+		finish := h.expectedFinish(s, expected, limit, now)
 		if best == nil || finish < bestFinish {
-			best, bestFinish, bestTime = s, finish, expected
+			best, bestFinish, bestSeconds = s, finish, expected
 		}
 	}
-	if best != nil && waitTime > 0 && bestTime > slowFactor*waitTime && bestTime > waitFinish {
+	if best != nil && busySeconds > 0 && bestSeconds > slowServerRatio*busySeconds && bestSeconds > busyFinish {
 		return nil
 	}
 	return best
 }
 
-// usableFor counts the usable servers that the leg may go to.
-func (h *Home) usableFor(l *leg, now time.Time) int {
+// usableServersFor counts the usable servers that the leg may go to.
+func (h *Home) usableServersFor(l *leg, now time.Time) int {
 	if len(l.Regions) == 0 {
 		return h.usableCount
 	}
@@ -79,39 +69,34 @@
 	return usable
 }
 
-// freeFinish is the expected finish on a server with a free slot. Requests that
-// run there, this home's or reported ones, count for a part of one: they slow
-// it down.
-//
-// Load: half of the servers of every service lose two in five of their answers for
-// seconds. Harm prevented: the near server loses the first, the far one is left for
-// one more attempt, and of 270 parts more than a search may lack are lost twice.
-func (h *Home) freeFinish(s *server, expected float64, limit int, now time.Time) float64 {
-	busy := float64(len(s.running))/float64(limit) + s.othersShare(now)
+// expectedFinish returns the expected finish time on a server with a free slot, in
+// seconds. It includes penalties for load, pipelining, another zone and lost answers.
+func (h *Home) expectedFinish(s *server, expected float64, limit int, now time.Time) float64 {
+	busy := float64(len(s.running))/float64(limit) + s.otherLoad(now)
 	finish := expected * (1 + busy/2)
 	if len(s.running) >= limit {
-		finish += expected / float64(limit) // sent ahead, waits for a slot
+		finish += expected / float64(limit) // pipelined, waits for a slot
 	}
 	if !s.spec.SameZone {
 		finish += h.cfg.ZoneCost
 	}
-	return finish + faultCost*s.failing.share(now)
+	return finish + faultPenaltySeconds*s.faultRate.value(now)
 }
 
-// prior is the mean service time of the class over all servers, in seconds.
-func (c *class) prior(now time.Time) float64 {
-	return c.times.mean(now, 0, firstGuess)
+// meanSeconds returns the mean service time of the class over all servers, in seconds.
+func (c *class) meanSeconds(now time.Time) float64 {
+	return c.serviceTime.mean(now, 0, initialServiceSeconds)
 }
 
-// firstGuess is the service time in seconds assumed before any was observed.
-const firstGuess = 0.01
+// initialServiceSeconds is the service time assumed before any is observed, in seconds.
+const initialServiceSeconds = 0.01
 
-// pick is the next leg of the class that has a server to run on now.
+// pick returns the next leg of the class that can start now, with its server.
 func (h *Home) pick(c *class, now time.Time) (l *leg, s *server, hedge bool) {
 	if l, s := h.pickHedge(c, now); l != nil {
 		return l, s, true
 	}
-	for i := 0; i < c.waiting.len() && i < maxScan; i++ {
+	for i := 0; i < c.waiting.len() && i < maxQueueScan; i++ {
 		if s := h.place(c, c.waiting.legs[i], i, now); s != nil {
 			return c.waiting.legs[i], s, false
 		}
--- a/home/queue.go
+++ b/home/queue.go
@@ -2,22 +2,19 @@
 
 import "sort"
 
-// queue holds legs by the time they are due, then request id.
+// queue holds legs ordered by soft deadline and request ID. Every home uses the same
+// order, so that all legs of a query have the same rank everywhere and the query
+// completes as a whole.
 //
-// Load: a query has a leg at every service, and each home orders alone. Harm
-// prevented: with orders that differ, each query is last somewhere, and all
-// finish late or partial. Deadline and request id rank a query the same at
-// every home without a message between them, so queries finish whole.
-//
-// It is a sorted slice: at the bound of a class (hundreds of legs) moving
-// pointers costs less than a tree, and placement can look at any position.
+// It is a sorted slice: with a few hundred legs moving pointers costs less than a tree,
+// and placement can look at any position.
 type queue struct {
 	legs []*leg
 }
 
 func (q *queue) len() int { return len(q.legs) }
 
-// position is where the leg stands or would be put.
+// position returns the leg's index, or the index at which it would be inserted.
 func (q *queue) position(l *leg) int {
 	return sort.Search(len(q.legs), func(i int) bool { return !before(q.legs[i], l) })
 }
@@ -29,7 +26,7 @@
 	q.legs[i] = l
 }
 
-// remove takes the leg out, if it is there.
+// remove removes the leg if present.
 func (q *queue) remove(l *leg) {
 	for i := q.position(l); i < len(q.legs) && !before(l, q.legs[i]); i++ {
 		if q.legs[i] == l {
@@ -46,10 +43,10 @@
 	q.legs = q.legs[:last]
 }
 
-// before is the order of every home's queue.
+// before is the queue order.
 func before(a, b *leg) bool {
-	if !a.order.Equal(b.order) {
-		return a.order.Before(b.order)
+	if !a.orderBy.Equal(b.orderBy) {
+		return a.orderBy.Before(b.orderBy)
 	}
 	if a.Request != b.Request {
 		return a.Request.Less(b.Request)
--- a/home/reconfigure.go
+++ b/home/reconfigure.go
@@ -2,63 +2,61 @@
 
 import "time"
 
-// Reconfigure puts other limits in force. Legs that wait or run stay: a home
-// that began anew would count the slots from zero while the old one's attempts
-// still fill them, and the backend servers would shed.
+// Reconfigure applies new limits. Waiting and running legs are kept, so that the slots
+// used by running attempts stay counted.
 //
-// Classes are matched by name. The legs of a class that is gone go on in the
-// first class: their callers were admitted under the configuration before.
+// Classes are matched by name. Legs of a removed class go to the first class.
 func (h *Home) Reconfigure(now time.Time, cfg Config, acts []Action) []Action {
 	cfg = cfg.withDefaults()
-	position := h.newPositions(cfg)
-	h.moveLegs(position, cfg)
-	h.moveTimes(position, cfg)
+	newIndex := h.mapClasses(cfg)
+	h.moveLegs(newIndex, cfg)
+	h.moveServiceTimes(newIndex, cfg)
 	for _, s := range h.servers {
 		s.slots = slotsOf(s.spec, &cfg)
-		s.warmAfter, s.sharesSlots = cfg.WarmAfter, cfg.ShareSlots
+		s.slowStartAnswers, s.leavesReportedSlots = cfg.WarmAfter, cfg.ShareSlots
 	}
 	h.hedgeBudget.Set(cfg.HedgeBudget, cfg.HedgeBurst)
 	h.retryBudget.Set(cfg.RetryBudget, cfg.RetryBurst)
 	h.cfg = cfg
-	h.setRates()
+	h.applyBudgetRates()
 	return h.dispatch(now, acts)
 }
 
-// newPositions maps the old positions of classes to the new ones.
-func (h *Home) newPositions(cfg Config) []int {
-	position := make([]int, len(h.classes))
+// mapClasses maps the old indexes of classes to the new ones.
+func (h *Home) mapClasses(cfg Config) []int {
+	newIndex := make([]int, len(h.classes))
 	for i := range h.classes {
 		for j := range cfg.Classes {
 			if cfg.Classes[j].Name == h.classes[i].spec.Name {
-				position[i] = j
+				newIndex[i] = j
 			}
 		}
 	}
-	return position
+	return newIndex
 }
 
-// moveLegs makes the new classes and puts every leg into its own.
-func (h *Home) moveLegs(position []int, cfg Config) {
+// moveLegs creates the new classes and moves every leg to its class.
+func (h *Home) moveLegs(newIndex []int, cfg Config) {
 	old := h.classes
 	h.classes = make([]class, len(cfg.Classes))
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.class(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.forClass(cfg.Classes[i].Name)}
 	}
 	for i := range old {
-		c := &h.classes[position[i]]
+		c := &h.classes[newIndex[i]]
 		if c.spec.Name == old[i].spec.Name {
-			*c = keepLearnt(c, &old[i])
+			*c = keepStats(c, &old[i])
 		}
 	}
 	for i := range old {
-		h.classes[position[i]].merge(&old[i])
+		h.classes[newIndex[i]].merge(&old[i])
 	}
 	for l := range h.allLegs() {
-		l.Class = position[l.Class]
+		l.Class = newIndex[l.Class]
 	}
 }
 
-// allLegs are those that are not done and those whose attempts still run.
+// allLegs returns the legs that aren't done and those with running attempts.
 func (h *Home) allLegs() map[*leg]bool {
 	all := make(map[*leg]bool, len(h.legs))
 	for _, l := range h.legs {
@@ -70,12 +68,12 @@
 	return all
 }
 
-// keepLearnt carries what was measured over to the class of the same name.
-func keepLearnt(next, old *class) class {
+// keepStats carries the measurements over to the class of the same name.
+func keepStats(next, old *class) class {
 	kept := *old
 	kept.spec, kept.index, kept.shared = next.spec, next.index, next.shared
 	kept.running = 0
-	kept.waiting, kept.hedges, kept.watch = queue{}, queue{}, attemptList{}
+	kept.waiting, kept.hedges, kept.hedgeCandidates = queue{}, queue{}, attemptList{}
 	return kept
 }
 
@@ -88,23 +86,23 @@
 	for _, l := range old.hedges.legs {
 		c.hedges.insert(l)
 	}
-	for a := old.watch.head; a != nil; {
+	for a := old.hedgeCandidates.head; a != nil; {
 		next := a.next
 		a.prev, a.next = nil, nil
-		c.watch.push(a)
+		c.hedgeCandidates.push(a)
 		a = next
 	}
 }
 
-// moveTimes keeps each server's observed times under the classes' new positions.
-func (h *Home) moveTimes(position []int, cfg Config) {
+// moveServiceTimes keeps each server's observed times under the new class indexes.
+func (h *Home) moveServiceTimes(newIndex []int, cfg Config) {
 	for _, s := range h.servers {
 		times := make([]meanTime, len(cfg.Classes))
-		for i := range s.times {
-			if cfg.Classes[position[i]].Name == h.cfg.Classes[i].Name {
-				times[position[i]] = s.times[i]
+		for i := range s.serviceTimes {
+			if cfg.Classes[newIndex[i]].Name == h.cfg.Classes[i].Name {
+				times[newIndex[i]] = s.serviceTimes[i]
 			}
 		}
-		s.times = times
+		s.serviceTimes = times
 	}
 }
--- a/home/server.go
+++ b/home/server.go
@@ -9,77 +9,79 @@
 )
 
 const (
-	// reportLife is how long a server's own word on its load counts.
-	reportLife = time.Second
-	// regainAfter is how many answers give back a slot that a refusal took.
-	regainAfter = 24
-	// warmAfter is how many answers a new server gives before it gets as much
-	// at once as the others.
-	warmAfter = 16
-	// leastPause and mostPause bound the pause after a refusal. The longest
-	// one is how late a recovered server is noticed.
-	leastPause = time.Millisecond
-	mostPause  = 250 * time.Millisecond
-	// faultsToEject: fewer would eject a server for one broken connection.
-	faultsToEject = 3
-	// leastEjection doubles with each ejection in a row up to mostEjection.
-	leastEjection = 200 * time.Millisecond
-	mostEjection  = 5 * time.Second
+	// loadReportTTL is how long a server's load report is used.
+	loadReportTTL = time.Second
+	// answersPerRegainedSlot is the number of answers after which a slot that was given
+	// up after a refusal is used again.
+	answersPerRegainedSlot = 24
+	// defaultSlowStartAnswers is the number of answers after which a new server gets
+	// its full concurrency.
+	defaultSlowStartAnswers = 16
+	// minPause and maxPause bound the pause after a refusal. maxPause is how late a
+	// recovered server may be noticed.
+	minPause = time.Millisecond
+	maxPause = 250 * time.Millisecond
+	// ejectAfterFaults is above 1 so that one broken connection doesn't eject a server.
+	ejectAfterFaults = 3
+	// minEjection is the duration of the first ejection; it doubles with each
+	// consecutive one up to maxEjection.
+	minEjection = 200 * time.Millisecond
+	maxEjection = 5 * time.Second
 )
 
-// server is what the home knows of one backend server.
+// server is the state of one backend server.
 type server struct {
-	spec    ServerSpec
-	slots   int
-	running []*attempt
-	times   []meanTime // by class
+	spec         ServerSpec
+	slots        int
+	running      []*attempt
+	serviceTimes []meanTime // indexed by class
 
-	draining     bool
-	warm         bool
-	warmAfter    int // answers
-	sharesSlots  bool
-	answers      int // since the start of its incarnation
-	refusals     int // in a row
-	shared       int // slots that seem to be this home's; 0: all
-	regain       int // answers since shared changed
-	refusing     recentShare
-	failing      recentShare
-	pausedUntil  time.Time
-	faults       int // in a row
-	ejections    int // in a row
-	ejectedUntil time.Time
+	draining            bool
+	warm                bool
+	slowStartAnswers    int
+	leavesReportedSlots bool
+	answers             int // since the start of the incarnation
+	refusals            int // consecutive
+	slotLimit           int // slots usable by this home after a refusal; 0 means all
+	answersSinceLimit   int // answers since the last change of the slot limit
+	refusalRate         failureRate
+	faultRate           failureRate
+	pausedUntil         time.Time
+	faults              int // consecutive
+	ejections           int // consecutive
+	ejectedUntil        time.Time
 
-	ahead ahead
+	pipeline pipeline
 
-	starts         eligible.Starts // of attempts while cold
-	restartedUntil time.Time       // cold until then, as connections to it failed
+	coldStarts       eligible.Starts // attempts sent while cold
+	assumedColdUntil time.Time       // counts as cold until then, after a failed connection
 
-	others     int // requests that are not this home's, by the server's report
-	reportedAt time.Time
-	answeredAt time.Time   // the last answer
-	noted      ServerState // as TakeChanges told it last
+	reportedOthers int // requests of other hosts, as last reported by the server
+	reportedAt     time.Time
+	lastAnswer     time.Time
+	recordedState  ServerState // as last recorded in changes
 }
 
 func newServer(now time.Time, spec ServerSpec, cfg *Config, warm bool) *server {
 	slots := slotsOf(spec, cfg)
 	return &server{
-		spec:    spec,
-		slots:   slots,
-		running: make([]*attempt, 0, slots+1),
-		times:   make([]meanTime, len(cfg.Classes)),
-		warm:    warm,
+		spec:         spec,
+		slots:        slots,
+		running:      make([]*attempt, 0, slots+1),
+		serviceTimes: make([]meanTime, len(cfg.Classes)),
+		warm:         warm,
 
-		warmAfter:   cfg.WarmAfter,
-		sharesSlots: cfg.ShareSlots,
-		refusing:    recentShare{weight: refusalWeight},
-		failing:     recentShare{weight: faultWeight},
+		slowStartAnswers:    cfg.WarmAfter,
+		leavesReportedSlots: cfg.ShareSlots,
+		refusalRate:         failureRate{weight: refusalWeight},
+		faultRate:           failureRate{weight: faultWeight},
 
-		ahead: ahead{nextProbe: now.Add(firstProbe)},
+		pipeline: pipeline{nextProbe: now.Add(firstProbe)},
 	}
 }
 
-// slotsOf is how many requests the server serves at once: its own word goes
-// before the configuration's.
+// slotsOf returns how many requests the server serves at once: as reported by the
+// server itself, else as configured.
 func slotsOf(spec ServerSpec, cfg *Config) int {
 	if spec.Slots > 0 {
 		return spec.Slots
@@ -87,130 +89,115 @@
 	return max(1, cfg.SlotsPerServer)
 }
 
-// inService reports whether the server may get work at all. A drain that the
-// server itself announced lasts until a new incarnation, whatever other
-// signals say.
+// inService reports whether the server may get requests at all. A drain announced by
+// the server itself lasts until its next incarnation.
 func (s *server) inService() bool { return !s.spec.Leaving && !s.draining }
 
-// usable reports whether the server may get work now.
+// usable reports whether the server may get requests now.
 func (s *server) usable(now time.Time) bool {
 	return s.inService() && !now.Before(s.pausedUntil) && !now.Before(s.ejectedUntil) &&
-		(!s.cold(now) || s.starts.Allows(now, s.spec.Warmup.PerSecond))
+		(!s.cold(now) || s.coldStarts.Allows(now, s.spec.Warmup.PerSecond))
 }
 
-// availableAt is when a server in service is usable again.
+// availableAt returns when a server in service becomes usable.
 func (s *server) availableAt(now time.Time) time.Time {
 	at := s.pausedUntil
 	if s.ejectedUntil.After(at) {
 		at = s.ejectedUntil
 	}
-	if warm := s.warmerAt(now); warm.After(at) {
+	if warm := s.coldLimitUntil(now); warm.After(at) {
 		at = warm
 	}
 	return at
 }
 
-// limit is how many attempts the server may run at once.
-//
-// Load: one server of a service was restarted and its caches are cold. Harm
-// prevented: it looks idle, takes half of the legs, and each is a straggler.
-// Reason for the slow start by answers: a cold server earns its share as fast
-// as it answers, and costs at most a slot meanwhile. When no server is warm
-// (the whole service restarted) a limit would only take capacity away.
-func (s *server) limit(anyWarm bool) int {
+// concurrency returns how many attempts the server may run at once. A server that has just
+// started gets a concurrency that grows with its answers, so that a cold server, which
+// looks idle, doesn't take a large part of the legs. If no server is warm there is no
+// slow start, since it would only remove capacity.
+func (s *server) concurrency(anyWarm bool) int {
 	limit := s.slots
-	if s.shared > 0 {
-		limit = s.shared
+	if s.slotLimit > 0 {
+		limit = s.slotLimit
 	}
 	if s.warm || !anyWarm {
 		return limit
 	}
-	return min(limit, 1+s.answers*(s.slots-1)/s.warmAfter)
+	return min(limit, 1+s.answers*(s.slots-1)/s.slowStartAnswers)
 }
 
-// cut lowers the slots this home counts on to what it had running when the
-// server refused more.
-//
-// Load: views differ, and two hosts act as the home for seconds. Harm
-// prevented: both fill all slots, a third of the attempts is refused, and the
-// retry budget is spent on them until legs fail. Reason for the limits: one
-// slot is kept, so that the server's recovery is seen; one comes back after
-// regainAfter answers, so that a home that is alone again has all of them
-// within a tenth of a second.
-func (s *server) cut() {
-	s.shared = max(1, min(len(s.running), s.slots))
-	s.regain = 0
+// reduceSlots lowers the slots used by this home to the number in use when the server
+// refused another attempt, so that two hosts acting as the home don't both fill all
+// slots and spend the retry budget on refusals. One slot is always kept to notice that
+// the server has recovered.
+func (s *server) reduceSlots() {
+	s.slotLimit = max(1, min(len(s.running), s.slots))
+	s.answersSinceLimit = 0
 }
 
-// regained gives a slot back after enough answers.
-func (s *server) regained() {
-	if s.shared == 0 {
+// regainSlot returns one given-up slot after enough answers.
+func (s *server) regainSlot() {
+	if s.slotLimit == 0 {
 		return
 	}
-	s.regain++
-	if s.regain < regainAfter {
+	s.answersSinceLimit++
+	if s.answersSinceLimit < answersPerRegainedSlot {
 		return
 	}
-	s.regain = 0
-	s.shared++
-	if s.shared >= s.slots {
-		s.shared = 0
+	s.answersSinceLimit = 0
+	s.slotLimit++
+	if s.slotLimit >= s.slots {
+		s.slotLimit = 0
 	}
 }
 
-// expected is the service time in seconds to expect for a class, counting the
-// requests that still run with their ages, and how often the server must be
-// asked to serve one.
-//
-// Load: half of the servers of every service refuse two in five requests,
-// whatever their load. Harm prevented: they answer fast and look idle, half of
-// all arrivals are refused, and the budget of retries is spent within a second:
-// up to 0.6 of the searches failed. Counted as slower by what they refuse they
-// get work only where the others are full.
-func (s *server) expected(class int, prior float64, now time.Time) float64 {
+// expectedSeconds returns the expected service time of a class in seconds. It includes the
+// ages of running requests and is scaled by the refusal rate, so that a server that
+// refuses often, and therefore looks fast and idle, doesn't attract more requests.
+func (s *server) expectedSeconds(class int, prior float64, now time.Time) float64 {
 	ages := 0.0
 	for _, a := range s.running {
-		if a.leg.Class == class && !a.ahead {
+		if a.leg.Class == class && !a.pipelined {
 			ages += now.Sub(a.started).Seconds()
 		}
 	}
-	return s.times[class].mean(now, ages, prior) / (1 - s.refusing.share(now))
+	return s.serviceTimes[class].mean(now, ages, prior) / (1 - s.refusalRate.value(now))
 }
 
-// othersShare is how much of the server others use, from 0 to 1, as far as its
-// report is fresh. It only breaks ties: reports lag and mislead.
-func (s *server) othersShare(now time.Time) float64 {
-	if s.others == 0 || now.Sub(s.reportedAt) > reportLife {
+// otherLoad returns the fraction of the server in use by other hosts according to a
+// recent report. Reports lag, so it only breaks ties.
+func (s *server) otherLoad(now time.Time) float64 {
+	if s.reportedOthers == 0 || now.Sub(s.reportedAt) > loadReportTTL {
 		return 0
 	}
-	return min(1, float64(s.others)/float64(s.slots))
+	return min(1, float64(s.reportedOthers)/float64(s.slots))
 }
 
-// room is how many attempts of a class may be at the server, running or sent
-// ahead. Long work is not sent ahead: a short leg that comes would wait for it.
-func (s *server) room(long, anyWarm bool, now time.Time) int {
-	limit := s.limit(anyWarm)
+// capacity returns how many attempts of a class may be at the server, running or
+// pipelined. Long requests aren't pipelined: a short one behind them would have to
+// wait.
+func (s *server) capacity(long, anyWarm bool, now time.Time) int {
+	limit := s.concurrency(anyWarm)
 	if limit == s.slots && !long {
-		limit += s.ahead.allowed(now)
+		limit += s.pipeline.allowed(now)
 	}
-	if s.sharesSlots {
-		limit = max(1, limit-s.othersNow(now))
+	if s.leavesReportedSlots {
+		limit = max(1, limit-s.otherRequests(now))
 	}
 	return limit
 }
 
-// othersNow is how many requests of other hosts the server has, as far as its
-// report is fresh.
-func (s *server) othersNow(now time.Time) int {
-	if now.Sub(s.reportedAt) > reportLife {
+// otherRequests returns the number of requests of other hosts according to a recent
+// report.
+func (s *server) otherRequests(now time.Time) int {
+	if now.Sub(s.reportedAt) > loadReportTTL {
 		return 0
 	}
-	return s.others
+	return s.reportedOthers
 }
 
-// drop takes an attempt that ended off the server; the others keep the order
-// in which they were sent.
-func (s *server) drop(a *attempt) {
+// removeAttempt removes an attempt that ended; the others stay in sending order.
+func (s *server) removeAttempt(a *attempt) {
 	for i := range s.running {
 		if s.running[i] == a {
 			last := len(s.running) - 1
@@ -222,60 +209,56 @@
 	}
 }
 
-// observeLoad notes the load report of a reply.
-func (s *server) observeLoad(now time.Time, load backend.Load) {
+// recordLoad records the load report of a reply.
+func (s *server) recordLoad(now time.Time, load backend.Load) {
 	if load.Draining {
 		s.draining = true
 	}
-	s.others = max(0, load.Running+load.Queued-len(s.running))
+	s.reportedOthers = max(0, load.Running+load.Queued-len(s.running))
 	s.reportedAt = now
 }
 
-// answered notes a reply to use: all suspicion ends.
-func (s *server) answered(now time.Time) {
-	s.refusing.note(now, false)
+// recordAnswer records an answer, which ends pauses and ejections.
+func (s *server) recordAnswer(now time.Time) {
+	s.refusalRate.record(now, false)
 	s.answers++
-	if s.answers >= s.warmAfter {
+	if s.answers >= s.slowStartAnswers {
 		s.warm = true
 	}
-	s.regained()
+	s.regainSlot()
 	s.refusals, s.faults, s.ejections = 0, 0, 0
 	s.pausedUntil, s.ejectedUntil = time.Time{}, time.Time{}
 }
 
-// refused pauses the server after it refused before it ran anything.
-//
-// Load: two hosts act as the home for a moment and use the same slots, or the
-// server sheds for reasons of its own. Harm prevented: legs bounce off a full
-// server as fast as the network carries them. Reason for the doubling: the
-// first pause is about the time until a slot is free; a server that refuses
-// again and again is asked a few times a second only.
-func (s *server) refused(now time.Time, slotTime, hint time.Duration) {
-	s.refusing.note(now, true)
-	s.cut()
-	pause := max(slotTime, leastPause) << min(s.refusals, 8)
+// recordRefusal pauses the server after a refusal. The pause starts at about the time
+// until a slot is free and doubles with each consecutive refusal, so that legs aren't
+// sent to a full server as fast as it refuses them.
+func (s *server) recordRefusal(now time.Time, slotWait, hint time.Duration) {
+	s.refusalRate.record(now, true)
+	s.reduceSlots()
+	pause := max(slotWait, minPause) << min(s.refusals, 8)
 	s.refusals++
-	pause = max(min(pause, mostPause), min(hint, time.Second))
+	pause = max(min(pause, maxPause), min(hint, time.Second))
 	s.pausedUntil = now.Add(pause)
 }
 
-// failed notes a fault and reports whether the server should be ejected.
-func (s *server) failed() bool {
+// recordFault records a fault and reports whether the server should be ejected.
+func (s *server) recordFault() bool {
 	s.faults++
-	return s.faults >= faultsToEject
+	return s.faults >= ejectAfterFaults
 }
 
-// eject takes the server out for a while.
+// eject removes the server from use for a time that doubles with each consecutive
+// ejection.
 func (s *server) eject(now time.Time) {
-	s.ejectedUntil = now.Add(min(leastEjection<<min(s.ejections, 10), mostEjection))
+	s.ejectedUntil = now.Add(min(minEjection<<min(s.ejections, 10), maxEjection))
 	s.ejections++
-	s.faults = faultsToEject - 1 // the first fault after it ejects again
+	s.faults = ejectAfterFaults - 1 // the next fault ejects it again
 }
 
-// countsAsFault reports whether an end speaks against the server. A refusal is
-// the server's right; a snapshot it lacks or a call that was cancelled is no
-// fault of its.
-func countsAsFault(end End) bool {
+// isServerFault reports whether an attempt's end indicates a faulty server. Refusals,
+// missing snapshots and cancelled calls don't.
+func isServerFault(end End) bool {
 	switch end.Fault {
 	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultSilent, backend.FaultBroken,
 		backend.FaultHalfReply, backend.FaultCrossed, backend.FaultServer:
@@ -285,8 +268,8 @@
 	}
 }
 
-// countsAsRefusal reports whether the server had no room for the attempt.
-func countsAsRefusal(end End) bool {
+// isRefusal reports whether the server had no capacity for the attempt.
+func isRefusal(end End) bool {
 	return end.Fault == backend.FaultShed || end.Fault == backend.FaultConnectionLimit ||
 		(end.Outcome == result.OutcomeRefused && end.Fault == backend.FaultNone)
 }
--- a/home/state.go
+++ b/home/state.go
@@ -10,29 +10,28 @@
 	"github.com/goldcrestspan/goldcrestspan/retry"
 )
 
-// defaultMaxQueueBytes bounds the bodies that wait at one home, so that a few
-// callers with large bodies can't use up the memory of a small host.
+// defaultMaxQueueBytes limits the bodies waiting at one home, so that large requests
+// can't exhaust the memory of a small host.
 const defaultMaxQueueBytes = 4 << 20
 
-// Home is the decision state of one service. It is not safe for concurrent
-// use: its shell calls it from one goroutine at a time.
+// Home is the scheduling state of one service. It isn't safe for concurrent use.
 type Home struct {
 	cfg         Config
-	servers     []*server // by name, so that ties resolve the same way
-	known       bool      // SetServers was called
+	servers     []*server // sorted by name, so that ties resolve the same way
+	hasServers  bool      // SetServers has been called
 	classes     []class
 	legs        map[LegID]*leg
 	attempts    map[ident.AttemptID]*attempt
-	nextAttempt ident.AttemptID
+	lastAttempt ident.AttemptID
 	hedgeBudget retry.Budget
 	retryBudget retry.Budget
-	bytes       int       // of waiting bodies
-	lastGood    time.Time // a server last gave an answer, or the first was known
+	queuedBytes int       // total size of waiting bodies
+	lastAnswer  time.Time // last answer of any server, or the first SetServers
 
-	changes   []ServerChange // not yet taken
-	decidedAt time.Time      // of the last decision
+	pendingChanges []ServerChange // not yet returned by TakeChanges
+	lastDispatch   time.Time
 
-	// worked out by survey
+	// set by updateTotals
 	totalSlots, usableCount int
 	anyWarm                 bool
 }
@@ -42,25 +41,25 @@
 		c.MaxQueueBytes = defaultMaxQueueBytes
 	}
 	if c.HedgeBurst == 0 {
-		c.HedgeBurst = hedgeBurst
+		c.HedgeBurst = defaultHedgeBurst
 	}
 	if c.RetryBurst == 0 {
-		c.RetryBurst = retryBurst
+		c.RetryBurst = defaultRetryBurst
 	}
 	if c.RetryStart == 0 {
-		c.RetryStart = 1 // a quiet service can retry its first refusal
+		c.RetryStart = 1 // allows retries before any leg has earned one
 	}
 	if c.WarmAfter == 0 {
-		c.WarmAfter = warmAfter
+		c.WarmAfter = defaultSlowStartAnswers
 	}
 	if c.ZoneCost == 0 {
-		c.ZoneCost = zoneCost
+		c.ZoneCost = defaultCrossZoneSeconds
 	}
 	return c
 }
 
-// New makes the home of a service. Attempt ids start after firstAttempt, so
-// that the homes of one host never share one.
+// New returns the home of a service. Attempt IDs start after firstAttempt, so that the
+// homes of one host never share one.
 func New(cfg Config, firstAttempt ident.AttemptID) *Home {
 	cfg = cfg.withDefaults()
 	h := &Home{
@@ -68,32 +67,32 @@
 		classes:     make([]class, len(cfg.Classes)),
 		legs:        make(map[LegID]*leg),
 		attempts:    make(map[ident.AttemptID]*attempt),
-		nextAttempt: firstAttempt,
+		lastAttempt: firstAttempt,
 		hedgeBudget: retry.NewPartBudget(cfg.HedgeBudget, cfg.HedgeBurst, cfg.HedgeStart),
 		retryBudget: retry.NewPartBudget(cfg.RetryBudget, cfg.RetryBurst, cfg.RetryStart),
 	}
-	h.setRates()
+	h.applyBudgetRates()
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.class(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.forClass(cfg.Classes[i].Name)}
 	}
 	return h
 }
 
-func (h *Home) setRates() {
+func (h *Home) applyBudgetRates() {
 	h.hedgeBudget.SetRate(h.cfg.HedgeRate)
 	h.retryBudget.SetRate(h.cfg.RetryRate)
 }
 
-// SetServers replaces the known backend servers of the service. A server with
-// a new incarnation starts afresh.
+// SetServers replaces the backend servers of the service. The state of a server with a
+// new incarnation is reset.
 func (h *Home) SetServers(now time.Time, specs []ServerSpec, acts []Action) []Action {
 	servers := make([]*server, 0, len(specs))
 	for _, spec := range specs {
-		s := h.find(spec.Name)
+		s := h.findServer(spec.Name)
 		if s == nil || s.spec.Incarnation != spec.Incarnation {
-			next := newServer(now, spec, &h.cfg, !h.known && !now.Before(spec.ColdUntil))
+			next := newServer(now, spec, &h.cfg, !h.hasServers && !now.Before(spec.ColdUntil))
 			if s != nil {
-				next.starts = s.starts // those of this second may have reached the new start
+				next.coldStarts = s.coldStarts // recent attempts may have reached the new incarnation
 			}
 			s = next
 		}
@@ -103,13 +102,13 @@
 	}
 	slices.SortFunc(servers, func(a, b *server) int { return strings.Compare(a.spec.Name, b.spec.Name) })
 	h.servers = servers
-	if !h.known {
-		h.known, h.lastGood = true, now
+	if !h.hasServers {
+		h.hasServers, h.lastAnswer = true, now
 	}
 	return h.dispatch(now, acts)
 }
 
-func (h *Home) find(name string) *server {
+func (h *Home) findServer(name string) *server {
 	for _, s := range h.servers {
 		if s.spec.Name == name {
 			return s
@@ -118,24 +117,24 @@
 	return nil
 }
 
-// Submit takes a leg in; it starts, waits or fails at once.
+// Submit adds a leg, which starts, waits or fails at once.
 func (h *Home) Submit(now time.Time, in Leg, acts []Action) []Action {
-	l := &leg{Leg: in, worst: result.OutcomeUnsent, order: in.Deadline}
+	l := &leg{Leg: in, outcome: result.OutcomeUnsent, orderBy: in.Deadline}
 	if in.Due.After(now) && !in.Optional {
-		l.order = in.Due
+		l.orderBy = in.Due
 	}
 	c := &h.classes[in.Class]
-	h.wake(c, now)
-	if code, ok := h.admits(c, l, now); !ok {
-		return append(acts, Action{Kind: ActionFail, Leg: in.ID, Code: code, Outcome: l.worst, RetryAfter: h.retryAfter(now, 0)})
+	h.catchUp(c, now)
+	if code, ok := h.admit(c, l, now); !ok {
+		return append(acts, Action{Kind: ActionFail, Leg: in.ID, Code: code, Outcome: l.outcome, RetryAfter: h.retryAfter(now, 0)})
 	}
 	h.hedgeBudget.Pass(now)
 	h.retryBudget.Pass(now)
 	h.hedgeBudget.Earn()
 	h.retryBudget.Earn()
 	h.legs[in.ID] = l
-	l.place = inWaiting
-	h.bytes += l.Bytes
+	l.queuedIn = inWaitingQueue
+	h.queuedBytes += l.Bytes
 	c.waiting.insert(l)
 	return h.dispatch(now, acts)
 }
@@ -147,82 +146,82 @@
 		return acts
 	}
 	delete(h.attempts, id)
-	a.server.drop(a)
+	a.server.removeAttempt(a)
 	a.leg.dropAttempt(a)
 	c := &h.classes[a.leg.Class]
 	c.running--
-	c.watch.remove(a)
-	c.charge(a.ran(now).Seconds() - a.charged)
-	h.learn(now, a, end)
+	c.hedgeCandidates.remove(a)
+	c.charge(a.elapsed(now).Seconds() - a.chargedSeconds)
+	h.recordEnd(now, a, end)
 	h.promote(a.server, now)
 	if !a.leg.done {
-		acts = h.settle(now, a, end, acts)
+		acts = h.handleEnd(now, a, end, acts)
 	}
 	return h.dispatch(now, acts)
 }
 
-// Outcome is what is known of a leg that has not ended, if it is given up now:
+// Outcome returns what is known of a leg that hasn't ended if it were given up now:
 // unsent or refused only if no server has it.
 func (h *Home) Outcome(id LegID) result.Outcome {
 	l, ok := h.legs[id]
 	if !ok || l.runningCount() > 0 {
 		return result.OutcomeUnknown
 	}
-	return l.worst
+	return l.outcome
 }
 
-// Cancel drops a leg whose caller no longer waits; running attempts are cancelled.
+// Cancel removes a leg whose caller no longer waits and cancels its running attempts.
 func (h *Home) Cancel(now time.Time, id LegID, acts []Action) []Action {
 	l, ok := h.legs[id]
 	if !ok {
 		return acts
 	}
-	h.remove(l)
+	h.removeLeg(l)
 	return h.dispatch(now, h.cancelAttempts(l, acts))
 }
 
-// Tick does what is due at now: deadlines, hedges, ends of pauses.
+// Tick handles whatever is due at now: deadlines, hedges, ends of pauses.
 func (h *Home) Tick(now time.Time, acts []Action) []Action {
 	return h.dispatch(now, acts)
 }
 
-// NextTick is when Tick wants to be called next; zero: not needed. It is
-// always later than the last decision: whatever was due then and could not be
-// done waits for an attempt to end, and a time in the past would make the
-// shell call Tick without end.
+// NextTick returns when Tick should be called next, or the zero time if no call is
+// needed. It is always later than the last dispatch: work that was due then and
+// couldn't be done waits for an attempt to end, and a time in the past would make the
+// caller spin.
 func (h *Home) NextTick() time.Time {
-	next := h.nextDue()
-	if !next.IsZero() && !next.After(h.decidedAt) {
-		return h.decidedAt.Add(leastPause)
+	next := h.nextEvent()
+	if !next.IsZero() && !next.After(h.lastDispatch) {
+		return h.lastDispatch.Add(minPause)
 	}
 	return next
 }
 
-func (h *Home) nextDue() time.Time {
+func (h *Home) nextEvent() time.Time {
 	var next time.Time
 	waiting := false
 	for i := range h.classes {
 		c := &h.classes[i]
-		if age := h.hedgeAge(c); c.watch.head != nil && age > 0 {
-			next = earlier(next, c.watch.head.started.Add(age))
+		if age := h.hedgeDelay(c); c.hedgeCandidates.head != nil && age > 0 {
+			next = earliest(next, c.hedgeCandidates.head.started.Add(age))
 		}
 		if c.waiting.len() > 0 {
 			waiting = true
-			next = earlier(next, c.waiting.legs[0].Deadline.Add(-c.quantiles().least))
+			next = earliest(next, c.waiting.legs[0].Deadline.Add(-c.quantiles().fast))
 		}
 	}
 	if !waiting {
 		return next
 	}
 	for _, s := range h.servers {
-		if at := s.availableAt(h.decidedAt); s.inService() && at.After(h.decidedAt) {
-			next = earlier(next, at)
+		if at := s.availableAt(h.lastDispatch); s.inService() && at.After(h.lastDispatch) {
+			next = earliest(next, at)
 		}
 	}
 	return next
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
