--- a/home/changes.go
+++ b/home/changes.go
@@ -11,8 +11,8 @@
 	// ServerStalled means that the running requests are older than usual and nothing
 	// has been answered since; other servers are preferred.
 	ServerStalled
-	// ServerRefuses means several consecutive refusals.
-	ServerRefuses
+	// ServerRefusing means several consecutive refusals.
+	ServerRefusing
 	// ServerEjected means several consecutive faults; the server gets no requests for a
 	// time.
 	ServerEjected
@@ -63,7 +63,7 @@
 	case s.ejections > 0:
 		return ServerEjected
 	case s.refusals >= minConsecutiveFailures:
-		return ServerRefuses
+		return ServerRefusing
 	case h.stalled(s, now):
 		return ServerStalled
 	case s.cold(now):
