--- a/admit/pressure.go
+++ b/admit/pressure.go
@@ -23,7 +23,7 @@
 	quiet               time.Duration // since a leg was added
 }
 
-func (p *pressure) add(leg *Leg) {
+func (p *pressure) add(leg *LegTiming) {
 	if leg.Wait < 0 {
 		return
 	}
--- a/answers.go
+++ b/answers.go
@@ -19,7 +19,7 @@
 
 // Query implements front.Service.
 func (h *Host) Query(ctx context.Context, q front.Query) (*scatter.Answer, *result.Error) {
-	if refused := h.parts.Crashes.book.Judge(h.parts.Now(), fingerprint(q)); refused != nil {
+	if refused := h.parts.Crashes.book.Check(h.parts.Now(), fingerprint(q)); refused != nil {
 		return nil, refused
 	}
 	work, refused := h.plan(q)
@@ -32,7 +32,7 @@
 		return nil, refused
 	}
 	answer := h.run(ctx, q, work)
-	h.parts.Admission.Done(h.parts.Now(), pass, observed(answer))
+	h.parts.Admission.Release(h.parts.Now(), pass, observed(answer))
 	h.parts.Crashes.answered(started, fingerprint(q), answer)
 	return answer, nil
 }
@@ -44,34 +44,34 @@
 }
 
 // ask describes a query to the admission.
-func (h *Host) ask(q front.Query, work scatter.Work) admit.Ask {
+func (h *Host) ask(q front.Query, work scatter.QuerySpec) admit.Request {
 	_, class, _ := h.Config().Class(q.Class)
 	shards := work.Snapshot.Shards
 	services := make([]string, len(shards))
 	for i := range shards {
 		services[i] = shards[i].Service
 	}
-	return admit.Ask{
-		Caller:    q.Caller.Name,
-		Weight:    q.Caller.Weight,
-		Class:     class,
-		Deadline:  q.Deadline,
-		Bytes:     len(q.Body),
-		Services:  services,
-		LeastLegs: int(math.Ceil(work.LeastCoverage * float64(len(shards)))),
+	return admit.Request{
+		Caller:   q.Caller.Name,
+		Weight:   q.Caller.Weight,
+		Class:    class,
+		Deadline: q.Deadline,
+		Bytes:    len(q.Body),
+		Services: services,
+		MinLegs:  int(math.Ceil(work.MinCoverage * float64(len(shards)))),
 	}
 }
 
 // observed tells the admission what became of a query.
-func observed(answer *scatter.Answer) admit.Observed {
+func observed(answer *scatter.Answer) admit.Completion {
 	group := answer.Code.Group()
-	o := admit.Observed{
+	o := admit.Completion{
 		Answered:  group == result.GroupComplete || group == result.GroupPartial,
 		Abandoned: answer.Code == result.Cancelled,
-		Legs:      make([]admit.Leg, len(answer.Legs)),
+		Legs:      make([]admit.LegTiming, len(answer.Legs)),
 	}
 	for i, l := range answer.Legs {
-		o.Legs[i] = admit.Leg{Service: l.Service, Time: l.Time, Wait: l.Wait, Missed: l.Missed}
+		o.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, Wait: l.Wait, TimedOut: l.TimedOut}
 	}
 	return o
 }
@@ -107,7 +107,7 @@
 	if refused != nil {
 		return booking.Result{Code: refused.Code, Detail: refused.Detail}
 	}
-	if refused := h.parts.Crashes.book.Judge(h.parts.Now(), fingerprint(q)); refused != nil {
+	if refused := h.parts.Crashes.book.Check(h.parts.Now(), fingerprint(q)); refused != nil {
 		return booking.Result{Code: refused.Code, Detail: refused.Detail}
 	}
 	work, refused := h.plan(q)
@@ -157,7 +157,7 @@
 	if region == "" {
 		region = h.parts.Settings.Host.Region
 	}
-	asker := entry.Asker{Key: key, Region: region, Zone: zone}
+	asker := entry.AdviceRequest{Key: key, Region: region, Zone: zone}
 	keep := time.Duration(h.Config().Policy.AdviceFor)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return h.parts.Advisor.Advise(h.parts.Member.View(), asker, keep, random)
--- a/bench/admission.go
+++ b/bench/admission.go
@@ -34,8 +34,8 @@
 }
 
 type doorQuery struct {
-	pass *admit.Pass
-	legs []admit.Leg // of the legs that have ended
+	pass *admit.Permit
+	legs []admit.LegTiming // of the legs that have ended
 }
 
 func newDoor(s *Sim) *door {
@@ -70,15 +70,15 @@
 	d.sim.Release(q)
 }
 
-func ask(q *Query) admit.Ask {
+func ask(q *Query) admit.Request {
 	services := make([]string, len(q.Legs))
 	for i, leg := range q.Legs {
 		services[i] = leg.Service.Name
 	}
-	return admit.Ask{
+	return admit.Request{
 		Caller: q.Traffic.Caller, Weight: 1, Class: q.Traffic.Class,
 		Deadline: q.DeadlineTime(), Bytes: benchBodyBytes,
-		Services: services, LeastLegs: len(services),
+		Services: services, MinLegs: len(services),
 	}
 }
 
@@ -88,11 +88,11 @@
 	if q == nil {
 		return
 	}
-	q.legs = append(q.legs, admit.Leg{
-		Service: leg.Service.Name,
-		Time:    d.sim.Elapsed() - leg.Submitted,
-		Wait:    waited(leg),
-		Missed:  !leg.Answered,
+	q.legs = append(q.legs, admit.LegTiming{
+		Service:  leg.Service.Name,
+		Time:     d.sim.Elapsed() - leg.Submitted,
+		Wait:     waited(leg),
+		TimedOut: !leg.Answered,
 	})
 }
 
@@ -117,10 +117,10 @@
 			continue
 		}
 		if !leg.Ended {
-			q.legs = append(q.legs, admit.Leg{Service: leg.Service.Name, Time: d.sim.Elapsed() - leg.Submitted, Wait: waited(leg), Missed: true})
+			q.legs = append(q.legs, admit.LegTiming{Service: leg.Service.Name, Time: d.sim.Elapsed() - leg.Submitted, Wait: waited(leg), TimedOut: true})
 		}
 	}
-	d.controllers[query.Host].Done(d.sim.Now(), q.pass, admit.Observed{Answered: answered == len(query.Legs), Legs: q.legs})
+	d.controllers[query.Host].Release(d.sim.Now(), q.pass, admit.Completion{Answered: answered == len(query.Legs), Legs: q.legs})
 }
 
 // FIFODoor is the usual way: each entry host runs a fixed number of queries at
--- a/bench/baseline_alone.go
+++ b/bench/baseline_alone.go
@@ -114,7 +114,7 @@
 
 func (p *alone) start(host int, l *aloneLeg, server *aloneServer) {
 	server.inFlight++
-	p.calls[l.leg] = p.sim.Send(host, server.server, l.leg, func(end home.End) {
+	p.calls[l.leg] = p.sim.Send(host, server.server, l.leg, func(end home.AttemptResult) {
 		server.inFlight--
 		delete(p.calls, l.leg)
 		p.learn(server, end)
@@ -123,7 +123,7 @@
 	})
 }
 
-func (p *alone) learn(server *aloneServer, end home.End) {
+func (p *alone) learn(server *aloneServer, end home.AttemptResult) {
 	if end.HasLoad {
 		server.reported = end.Load.Running
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (p *alone) ended(l *aloneLeg, end home.End) {
+func (p *alone) ended(l *aloneLeg, end home.AttemptResult) {
 	switch {
 	case l.leg.Query.over:
 	case end.Outcome == result.OutcomeRan:
--- a/bench/baseline_queue.go
+++ b/bench/baseline_queue.go
@@ -139,7 +139,7 @@
 	q.running[server]++
 	l.avoid = server
 	sim := q.policy.sim
-	l.calls = append(l.calls, sim.send(0, q.service.Servers[server], l.leg, func(end home.End) {
+	l.calls = append(l.calls, sim.send(0, q.service.Servers[server], l.leg, func(end home.AttemptResult) {
 		q.running[server]--
 		q.ended(l, end)
 		q.dispatch()
@@ -163,7 +163,7 @@
 	q.dispatch()
 }
 
-func (q *serviceQueue) ended(l *queuedLeg, end home.End) {
+func (q *serviceQueue) ended(l *queuedLeg, end home.AttemptResult) {
 	if l.done {
 		return
 	}
--- a/bench/capacity/capacity.go
+++ b/bench/capacity/capacity.go
@@ -41,14 +41,14 @@
 	results := make([]leg.Result, Shards)
 	for i := range results {
 		results[i] = leg.Result{
-			Request:  request,
-			Shard:    snapshot.ShardID(i),
-			Snapshot: 1,
-			Outcome:  result.OutcomeRan,
-			Body:     body,
-			Digest:   leg.Digest(body),
-			Attempts: 1,
-			Wait:     leg.UnknownWait,
+			Request:   request,
+			Shard:     snapshot.ShardID(i),
+			Snapshot:  1,
+			Outcome:   result.OutcomeRan,
+			Body:      body,
+			Digest:    leg.Digest(body),
+			Attempts:  1,
+			QueueTime: leg.UnknownQueueTime,
 		}
 	}
 	return results
@@ -59,7 +59,7 @@
 func RunQuery(plan scatter.Plan, results []leg.Result) bool {
 	query := scatter.NewQuery(plan)
 	for _, r := range results {
-		query.Take(r)
+		query.AddResult(r)
 	}
 	answer := query.Answer()
 	return answer != nil && answer.Code == result.Complete
--- a/bench/homes.go
+++ b/bench/homes.go
@@ -109,7 +109,7 @@
 	if p.local {
 		return from, true
 	}
-	first, next := p.caches[from].Homes(p.sim.Hosts[from].View, p.placed).Of(service.Name)
+	first, next := p.caches[from].Homes(p.sim.Hosts[from].View, p.placed).Lookup(service.Name)
 	if second {
 		first = next
 	}
@@ -196,7 +196,7 @@
 	n.ids[leg] = id
 	n.do(n.state.Submit(n.now(), home.Leg{
 		ID: id, Request: leg.Query.ID, Class: leg.Query.Traffic.Class, Caller: leg.Query.Traffic.Caller,
-		Deadline: leg.Query.DeadlineTime(), Due: leg.Query.due(), Idempotent: true, Bytes: 200,
+		Deadline: leg.Query.DeadlineTime(), SoftDeadline: leg.Query.due(), Idempotent: true, Bytes: 200,
 		Optional: leg.Optional,
 	}, n.acts[:0]))
 }
@@ -248,7 +248,7 @@
 		if server.Name != act.Server {
 			continue
 		}
-		n.calls[act.Attempt] = n.policy.sim.Send(n.host, server, n.legs[act.Leg], func(end home.End) {
+		n.calls[act.Attempt] = n.policy.sim.Send(n.host, server, n.legs[act.Leg], func(end home.AttemptResult) {
 			delete(n.calls, act.Attempt)
 			if !n.down() {
 				n.do(n.state.Finish(n.now(), act.Attempt, end, n.acts[:0]))
--- a/bench/server.go
+++ b/bench/server.go
@@ -60,7 +60,7 @@
 
 	sim       *Sim
 	hop       time.Duration
-	done      func(home.End)
+	done      func(home.AttemptResult)
 	arrived   bool
 	started   time.Duration
 	ended     bool
@@ -69,12 +69,12 @@
 
 // Send sends the leg to the server from a host; done is called with the end
 // of the attempt once its reply, refusal or failure is back at that host.
-func (s *Sim) Send(host int, server *Server, leg *Leg, done func(home.End)) *Call {
+func (s *Sim) Send(host int, server *Server, leg *Leg, done func(home.AttemptResult)) *Call {
 	return s.send(s.Hop(s.Hosts[host].Zone, server.Zone), server, leg, done)
 }
 
 // send takes the one-way latency; zero is for the ideal queue only.
-func (s *Sim) send(hop time.Duration, server *Server, leg *Leg, done func(home.End)) *Call {
+func (s *Sim) send(hop time.Duration, server *Server, leg *Leg, done func(home.AttemptResult)) *Call {
 	call := &Call{Leg: leg, Server: server, sim: s, hop: hop, done: done}
 	s.result.countSent(leg)
 	s.After(hop, call.arrive)
@@ -86,12 +86,12 @@
 	c.arrived = true
 	switch {
 	case c.cancelled:
-		c.reply(home.End{Outcome: result.OutcomeUnknown, Fault: backend.FaultCancelled})
+		c.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultCancelled})
 	case server.Down:
-		c.reply(home.End{Outcome: result.OutcomeUnsent, Fault: backend.FaultUnreachable})
+		c.reply(home.AttemptResult{Outcome: result.OutcomeUnsent, Fault: backend.FaultUnreachable})
 	case server.Refusing || len(server.running)+len(server.queue) >= server.Slots+c.sim.Case.Shape.ServerQueue:
 		c.sim.result.countRefused(c.Leg)
-		c.reply(home.End{Outcome: result.OutcomeRefused, Fault: backend.FaultShed, Load: server.load(), HasLoad: true})
+		c.reply(home.AttemptResult{Outcome: result.OutcomeRefused, Fault: backend.FaultShed, Load: server.load(), HasLoad: true})
 	case len(server.running) >= server.Slots:
 		server.queue = append(server.queue, c)
 	default:
@@ -108,7 +108,7 @@
 	c.sim.result.countRun(c.Leg)
 	c.sim.After(c.Server.draw(c.sim, c.Leg), func() {
 		if c.release() {
-			c.reply(home.End{Outcome: result.OutcomeRan, Load: c.Server.load(), HasLoad: true})
+			c.reply(home.AttemptResult{Outcome: result.OutcomeRan, Load: c.Server.load(), HasLoad: true})
 		}
 	})
 }
@@ -121,7 +121,7 @@
 	c.cancelled = true
 	c.sim.After(c.hop, func() {
 		if c.arrived && (c.leaveQueue() || c.release()) {
-			c.reply(home.End{Outcome: result.OutcomeUnknown, Fault: backend.FaultCancelled, Load: c.Server.load(), HasLoad: true})
+			c.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultCancelled, Load: c.Server.load(), HasLoad: true})
 		}
 	})
 }
@@ -153,7 +153,7 @@
 	return true
 }
 
-func (c *Call) reply(end home.End) {
+func (c *Call) reply(end home.AttemptResult) {
 	c.ended = true
 	c.sim.After(c.hop, func() { c.done(end) })
 }
@@ -197,11 +197,11 @@
 
 func (s *Server) dropRunning(sim *Sim) {
 	for _, call := range s.queue {
-		call.reply(home.End{Outcome: result.OutcomeUnknown, Fault: backend.FaultBroken})
+		call.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultBroken})
 	}
 	s.queue = nil
 	for _, call := range sortedCalls(s.running) {
 		call.release()
-		call.reply(home.End{Outcome: result.OutcomeUnknown, Fault: backend.FaultBroken})
+		call.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultBroken})
 	}
 }
--- a/booking/desk.go
+++ b/booking/desk.go
@@ -77,9 +77,9 @@
 	MaxRecordBytes int
 }
 
-// Desk takes bookings on one entry host, and runs those whose ticket this life
+// Executor takes bookings on one entry host, and runs those whose ticket this life
 // of the host issued. Its methods are safe for concurrent use.
-type Desk struct {
+type Executor struct {
 	config  Config
 	signer  *signer
 	claims  *lru.Cache[string, string] // claim key to ticket
@@ -114,15 +114,15 @@
 	Floor     uint64 // tickets at or below it are forgotten
 }
 
-// NewDesk makes the desk of one life of a host.
-func NewDesk(config Config) *Desk {
+// NewExecutor makes the desk of one life of a host.
+func NewExecutor(config Config) *Executor {
 	if config.MaxRecords == 0 {
 		config.MaxRecords = defaultMaxRecords
 	}
 	if config.MaxRecordBytes == 0 {
 		config.MaxRecordBytes = defaultMaxRecordBytes
 	}
-	return &Desk{
+	return &Executor{
 		config:  config,
 		signer:  newSigner(),
 		claims:  newCache[string, string](claimsCached),
@@ -143,7 +143,7 @@
 }
 
 // Stats returns the counts so far.
-func (d *Desk) Stats() Stats {
+func (d *Executor) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	stats := d.stats
@@ -156,7 +156,7 @@
 
 // Issue makes a ticket for one booking of the caller on the route. It takes no
 // memory and writes nothing.
-func (d *Desk) Issue(caller, route string) string {
+func (d *Executor) Issue(caller, route string) string {
 	d.mu.Lock()
 	sequence := d.ledger.issue()
 	d.mu.Unlock()
@@ -168,7 +168,7 @@
 // Book runs the booking, or answers with what became of it, at the latest when
 // ctx ends or the request's deadline passes. A run that began goes on when the
 // caller goes away, so that a later sending finds its outcome.
-func (d *Desk) Book(ctx context.Context, r Request) Result {
+func (d *Executor) Book(ctx context.Context, r Request) Result {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	outcome := d.book(ctx, r)
@@ -178,7 +178,7 @@
 	return outcome
 }
 
-func (d *Desk) book(ctx context.Context, r Request) Result {
+func (d *Executor) book(ctx context.Context, r Request) Result {
 	switch {
 	case r.Ticket != "" && r.IdempotencyKey != "":
 		return Result{Code: result.BadRequest, Detail: "a booking has a ticket or an idempotency key, not both"}
@@ -192,7 +192,7 @@
 }
 
 // bookTicket runs a ticket of this life here and sends others to their issuer.
-func (d *Desk) bookTicket(ctx context.Context, r Request) Result {
+func (d *Executor) bookTicket(ctx context.Context, r Request) Result {
 	t, err := parseTicket(r.Ticket)
 	if err != nil {
 		return Result{Code: result.TicketInvalid, Detail: err.Error()}
@@ -203,13 +203,13 @@
 	return d.forward(ctx, t, r)
 }
 
-func (d *Desk) issuedHere(t ticket) bool {
+func (d *Executor) issuedHere(t ticket) bool {
 	return t.host == d.config.Host && t.incarnation == d.config.Incarnation
 }
 
 // forward sends the booking to its issuer. Nothing that goes wrong on the way
 // is "not run": the issuer may have run an earlier sending, or this one.
-func (d *Desk) forward(ctx context.Context, t ticket, r Request) Result {
+func (d *Executor) forward(ctx context.Context, t ticket, r Request) Result {
 	outcome := Result{Code: result.IssuerGone, Detail: "the entry host that issued the ticket is gone"}
 	if address, known := d.config.Peers.Issuer(t.host, t.incarnation); known {
 		outcome = d.forwardTo(ctx, address, r)
@@ -225,7 +225,7 @@
 	return outcome
 }
 
-func (d *Desk) forwardTo(ctx context.Context, address string, r Request) Result {
+func (d *Executor) forwardTo(ctx context.Context, address string, r Request) Result {
 	d.count(&d.stats.Forwarded)
 	outcome, err := d.config.Peers.Forward(ctx, address, r)
 	if err != nil {
@@ -239,7 +239,7 @@
 
 // Forwarded takes a booking that another host sent on. It is never sent on
 // again, so no two hosts can pass one to and fro.
-func (d *Desk) Forwarded(ctx context.Context, r Request) Result {
+func (d *Executor) Forwarded(ctx context.Context, r Request) Result {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	t, err := parseTicket(r.Ticket)
@@ -253,7 +253,7 @@
 	return d.bookHere(ctx, t, r)
 }
 
-func (d *Desk) bookHere(ctx context.Context, t ticket, r Request) Result {
+func (d *Executor) bookHere(ctx context.Context, t ticket, r Request) Result {
 	if !d.signer.valid(t, r.Caller, r.Route) {
 		return Result{Code: result.TicketInvalid, Detail: "the ticket is not for this caller and route"}
 	}
@@ -274,7 +274,7 @@
 
 // prepare counts the step and returns the ending of the run that is on; the
 // lock is held.
-func (d *Desk) prepare(next action, sequence uint64) *ending {
+func (d *Executor) prepare(next action, sequence uint64) *ending {
 	switch next {
 	case actionRun:
 		d.stats.Runs++
@@ -300,7 +300,7 @@
 
 // run is the one run of the ticket. It does not end with the caller's
 // connection: what began is let finish and recorded.
-func (d *Desk) run(ctx context.Context, sequence uint64, end *ending, r Request) {
+func (d *Executor) run(ctx context.Context, sequence uint64, end *ending, r Request) {
 	defer d.work.Done()
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
@@ -315,7 +315,7 @@
 
 // runGuarded makes a panic of the runner an unknown outcome: left without a
 // finish, the ticket would answer "in progress" for good.
-func (d *Desk) runGuarded(ctx context.Context, r Request) (outcome Result) {
+func (d *Executor) runGuarded(ctx context.Context, r Request) (outcome Result) {
 	defer func() {
 		if recover() != nil {
 			outcome = Result{Code: result.OutcomeNotKnown, Detail: "the run ended abnormally"}
@@ -326,7 +326,7 @@
 
 // Stop starts no booking any more, waits for those that run, at the longest
 // until ctx ends, and reports whether all have ended.
-func (d *Desk) Stop(ctx context.Context) bool {
+func (d *Executor) Stop(ctx context.Context) bool {
 	d.mu.Lock()
 	d.ledger.stopping = true
 	d.mu.Unlock()
@@ -343,7 +343,7 @@
 	}
 }
 
-func (d *Desk) count(counter *uint64) {
+func (d *Executor) count(counter *uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	*counter++
--- a/booking/door.go
+++ b/booking/door.go
@@ -2,7 +2,7 @@
 
 import "github.com/goldcrestspan/goldcrestspan/result"
 
-// AtDoor is the code that a host may give for a booking that it refuses before
+// RefusalCode is the code that a host may give for a booking that it refuses before
 // the desk has seen it: stopping, overloaded, not ready.
 //
 // Failure: a caller's first sending ran and its answer was lost. It sends again
@@ -11,7 +11,7 @@
 // because a sending that is marked as sent before gets "not run" only from the
 // issuer, which knows; anyone else says that the outcome is not known. Faults
 // of the request itself keep their code, since sending again mends nothing.
-func AtDoor(code result.Code, resent bool) result.Code {
+func RefusalCode(code result.Code, resent bool) result.Code {
 	if !resent || !code.NotRun() || code.Info().Resend == result.ResendNo {
 		return code
 	}
--- a/booking/forward.go
+++ b/booking/forward.go
@@ -16,18 +16,18 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// Links is Peers over drpc.
-type Links struct {
+// DRPCPeers is Peers over drpc.
+type DRPCPeers struct {
 	// Dial opens a connection of its own to a peer's listener; peer.Pool.Dial
 	// fits. A pooled one may have gone silent while it was idle, which would
 	// turn the booking into an unknown one at its deadline.
 	Dial func(ctx context.Context, address string) (drpc.Conn, error)
-	// Find returns the peer's address of that life of the host; false when
+	// FindIssuer returns the peer's address of that life of the host; false when
 	// another life is known, or none.
-	Find func(host ident.HostID, incarnation ident.Incarnation) (address string, known bool)
-	// Serving returns the addresses of the peers' listeners of the other hosts
+	FindIssuer func(host ident.HostID, incarnation ident.Incarnation) (address string, known bool)
+	// ServingPeers returns the addresses of the peers' listeners of the other hosts
 	// that serve; nil: nothing is handed over.
-	Serving func() []string
+	ServingPeers func() []string
 }
 
 // successorCount is how many hosts get the records of a stopped life: two may
@@ -35,17 +35,17 @@
 const successorCount = 3
 
 // Issuer implements Peers.
-func (l Links) Issuer(host ident.HostID, incarnation ident.Incarnation) (string, bool) {
-	return l.Find(host, incarnation)
+func (l DRPCPeers) Issuer(host ident.HostID, incarnation ident.Incarnation) (string, bool) {
+	return l.FindIssuer(host, incarnation)
 }
 
 // Successors implements Peers by rendezvous hashing: a host that comes or goes
 // changes at most one successor of a life.
-func (l Links) Successors(host ident.HostID, incarnation ident.Incarnation) []string {
-	if l.Serving == nil {
+func (l DRPCPeers) Successors(host ident.HostID, incarnation ident.Incarnation) []string {
+	if l.ServingPeers == nil {
 		return nil
 	}
-	candidates := slices.Clone(l.Serving())
+	candidates := slices.Clone(l.ServingPeers())
 	key := string(host) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 	var chosen []string
 	for len(chosen) < successorCount && len(candidates) > 0 {
@@ -57,7 +57,7 @@
 }
 
 // call dials the peer for one call.
-func (l Links) call(ctx context.Context, address string, f func(bookingpb.DRPCBookingClient) error) error {
+func (l DRPCPeers) call(ctx context.Context, address string, f func(bookingpb.DRPCBookingClient) error) error {
 	conn, err := l.Dial(ctx, address)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 }
 
 // Forward implements Peers.
-func (l Links) Forward(ctx context.Context, address string, r Request) (Result, error) {
+func (l DRPCPeers) Forward(ctx context.Context, address string, r Request) (Result, error) {
 	var reply *bookingpb.ForwardReply
 	err := l.call(ctx, address, func(client bookingpb.DRPCBookingClient) (err error) {
 		reply, err = client.Forward(ctx, &bookingpb.ForwardRequest{
@@ -87,7 +87,7 @@
 }
 
 // HandOver implements Peers.
-func (l Links) HandOver(ctx context.Context, address string, from Life, records Records) error {
+func (l DRPCPeers) HandOver(ctx context.Context, address string, from Life, records Records) error {
 	message := &bookingpb.HandOverRequest{
 		Host: string(from.Host), Incarnation: uint64(from.Incarnation),
 		Issued: records.issued, Floor: records.floor,
@@ -106,7 +106,7 @@
 }
 
 // Recall implements Peers.
-func (l Links) Recall(ctx context.Context, address string, from Life, sequence uint64, content Digest) (Result, bool, error) {
+func (l DRPCPeers) Recall(ctx context.Context, address string, from Life, sequence uint64, content Digest) (Result, bool, error) {
 	var reply *bookingpb.RecallReply
 	err := l.call(ctx, address, func(client bookingpb.DRPCBookingClient) (err error) {
 		reply, err = client.Recall(ctx, &bookingpb.RecallRequest{
@@ -130,13 +130,13 @@
 }
 
 // Register serves the desk to peers.
-func (d *Desk) Register(mux drpc.Mux) error {
+func (d *Executor) Register(mux drpc.Mux) error {
 	return errors.Wrap(bookingpb.DRPCRegisterBooking(mux, server{desk: d}), "register the booking service")
 }
 
 // server is the desk as peers call it.
 type server struct {
-	desk *Desk
+	desk *Executor
 }
 
 // Forward implements the booking service.
--- a/booking/handover.go
+++ b/booking/handover.go
@@ -18,7 +18,7 @@
 // HandOver gives the records of a stopped desk to the successors, and returns
 // how many took them. Call it after Stop and before the process ends. What is
 // not handed over is answered with "issuer gone".
-func (d *Desk) HandOver(ctx context.Context) int {
+func (d *Executor) HandOver(ctx context.Context) int {
 	d.mu.Lock()
 	records, stopped := d.ledger.handOver(maxHandOverBytes)
 	d.mu.Unlock()
@@ -36,7 +36,7 @@
 }
 
 // takeOver keeps the records of a stopped life.
-func (d *Desk) takeOver(from Life, records Records) {
+func (d *Executor) takeOver(from Life, records Records) {
 	if from.Host == d.config.Host && from.Incarnation == d.config.Incarnation {
 		return // not stopped: this life's own ledger is the only word on it
 	}
@@ -44,7 +44,7 @@
 }
 
 // recallHere answers from the records that were handed over to this host.
-func (d *Desk) recallHere(from Life, sequence uint64, content Digest) (Result, bool) {
+func (d *Executor) recallHere(from Life, sequence uint64, content Digest) (Result, bool) {
 	records, ok := d.stopped.Get(from)
 	if !ok {
 		return Result{}, false
@@ -54,7 +54,7 @@
 
 // recall asks those who may hold the records of the ticket's issuer, this host
 // first; false if nobody reachable does.
-func (d *Desk) recall(ctx context.Context, t ticket, r Request) (Result, bool) {
+func (d *Executor) recall(ctx context.Context, t ticket, r Request) (Result, bool) {
 	from := Life{Host: t.host, Incarnation: t.incarnation}
 	content := contentOf(r.Caller, r.Route, r.Body)
 	if outcome, ok := d.recallHere(from, t.sequence, content); ok {
--- a/booking/keys.go
+++ b/booking/keys.go
@@ -11,7 +11,7 @@
 
 // bookKey finds or makes the claim of the idempotency key and goes on with the
 // claim's ticket.
-func (d *Desk) bookKey(ctx context.Context, r Request) Result {
+func (d *Executor) bookKey(ctx context.Context, r Request) Result {
 	if d.config.Store == nil {
 		return notClaimed(r)
 	}
@@ -32,12 +32,12 @@
 }
 
 // bookClaimed goes on with a ticket; the key has done its part.
-func (d *Desk) bookClaimed(ctx context.Context, r Request, ticket string) Result {
+func (d *Executor) bookClaimed(ctx context.Context, r Request, ticket string) Result {
 	r.Ticket, r.IdempotencyKey = ticket, ""
 	return d.bookTicket(ctx, r)
 }
 
-func (d *Desk) claim(ctx context.Context, r Request, key string) Result {
+func (d *Executor) claim(ctx context.Context, r Request, key string) Result {
 	content := contentOf(r.Caller, r.Route, r.Body)
 	own := claim{Ticket: d.Issue(r.Caller, r.Route), Content: hex.EncodeToString(content[:])}
 	value, err := json.Marshal(own)
@@ -77,7 +77,7 @@
 	return Result{Code: result.OutcomeNotKnown, Detail: "the store does not say whether the key is claimed; ask again with the same key"}
 }
 
-func (d *Desk) readClaim(ctx context.Context, r Request, key string, object metastore.Object) Result {
+func (d *Executor) readClaim(ctx context.Context, r Request, key string, object metastore.Object) Result {
 	found, err := parseClaim(object.Value)
 	if err != nil {
 		return claimUnclearResult()
@@ -86,7 +86,7 @@
 }
 
 // useClaim answers from the outcome in the claim, or goes on with its ticket.
-func (d *Desk) useClaim(ctx context.Context, r Request, key string, found claim) Result {
+func (d *Executor) useClaim(ctx context.Context, r Request, key string, found claim) Result {
 	content := contentOf(r.Caller, r.Route, r.Body)
 	if found.Content != hex.EncodeToString(content[:]) {
 		return Result{Code: result.TicketInvalid, Detail: "the idempotency key was used for another request"}
@@ -104,7 +104,7 @@
 // recordInClaim adds a final outcome to the claim, so that it outlives this
 // host. It is help, not a guard: without it the outcome is "unknown" once the
 // host is gone.
-func (d *Desk) recordInClaim(sequence uint64, r Request, outcome Result) {
+func (d *Executor) recordInClaim(sequence uint64, r Request, outcome Result) {
 	key, ok := d.issued.Get(sequence)
 	if !ok || outcome.Code.NotRun() || len(outcome.Answer) > maxClaimAnswer {
 		return
@@ -124,7 +124,7 @@
 	})
 }
 
-func (d *Desk) writeOutcome(ctx context.Context, key string, full claim) {
+func (d *Executor) writeOutcome(ctx context.Context, key string, full claim) {
 	object, err := d.config.Store.Get(ctx, key)
 	if err != nil {
 		return
--- a/booking/metrics.go
+++ b/booking/metrics.go
@@ -8,7 +8,7 @@
 const metricsPrefix = "goldcrestspan_booking_"
 
 // RegisterMetrics shows the desk's counts on the registry.
-func (d *Desk) RegisterMetrics(registry prometheus.Registerer) error {
+func (d *Executor) RegisterMetrics(registry prometheus.Registerer) error {
 	counters := []struct {
 		name, help string
 		of         func(Stats) uint64
@@ -32,7 +32,7 @@
 	return d.registerGauges(registry)
 }
 
-func (d *Desk) registerGauges(registry prometheus.Registerer) error {
+func (d *Executor) registerGauges(registry prometheus.Registerer) error {
 	gauges := []struct {
 		name, help string
 		of         func(Stats) int
--- a/bundle/documents.go
+++ b/bundle/documents.go
@@ -50,9 +50,9 @@
 	// Classes are the classes a request on the route may have; the first is the default.
 	Classes []string `yaml:"classes" json:"classes"`
 	Prefer  Prefer   `yaml:"prefer" json:"prefer"`
-	// LeastCoverage is the share of shards, 0 to 1, below which the caller
+	// MinCoverage is the share of shards, 0 to 1, below which the caller
 	// gets a refusal in place of an answer.
-	LeastCoverage float64 `yaml:"least_coverage" json:"least_coverage"`
+	MinCoverage float64 `yaml:"least_coverage" json:"least_coverage"`
 	// MaxDeadline bounds the time that a request may take; default 30 s.
 	MaxDeadline Duration `yaml:"max_deadline,omitempty" json:"max_deadline,omitempty"`
 }
--- a/bundle/validate.go
+++ b/bundle/validate.go
@@ -155,7 +155,7 @@
 		}
 		v.references(path+".callers", "caller", route.Name, route.Callers, v.callers)
 		v.references(path+".classes", "class", route.Name, route.Classes, v.classes)
-		v.within(path+".least_coverage", route.LeastCoverage, 0, 1)
+		v.within(path+".least_coverage", route.MinCoverage, 0, 1)
 		if route.MaxDeadline != 0 {
 			v.duration(path+".max_deadline", route.MaxDeadline, leastDeadline, mostDeadline)
 		}
@@ -172,7 +172,7 @@
 	case KindBooking:
 		// Half a booking is a wrong answer: the caller would be told of an
 		// outcome that some shard doesn't have.
-		if route.LeastCoverage != 1 {
+		if route.MinCoverage != 1 {
 			v.problems.add(path+".least_coverage", "set it to 1", "booking route %q takes partial answers", route.Name)
 		}
 		if route.Prefer == PreferLatency {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -90,9 +90,9 @@
 	return &Agent{config: config, log: NewLog(config.Epoch)}
 }
 
-// HeardAt is when the platform last replied, to this host or to the watcher
+// LastContact is when the platform last replied, to this host or to the watcher
 // that it follows; zero: never.
-func (a *Agent) HeardAt() time.Time {
+func (a *Agent) LastContact() time.Time {
 	if ns := a.heardAt.Load(); ns != 0 {
 		return time.Unix(0, ns)
 	}
--- a/catalog/follow.go
+++ b/catalog/follow.go
@@ -95,7 +95,7 @@
 
 func (a *Agent) noteHeard(ago time.Duration) {
 	heard := time.Now().Add(-ago)
-	if heard.After(a.HeardAt()) {
+	if heard.After(a.LastContact()) {
 		a.heardAt.Store(heard.UnixNano())
 	}
 }
@@ -122,7 +122,7 @@
 	c := a.log.Since(request.GetEpoch(), request.GetSequence(), pieceBytes)
 	a.mu.Unlock()
 	reply := &catalogpb.ChangesReply{Epoch: c.Epoch, Sequence: c.Sequence, Whole: c.Whole, More: c.More, HeardAgoMs: neverHeard}
-	if heard := a.HeardAt(); !heard.IsZero() {
+	if heard := a.LastContact(); !heard.IsZero() {
 		reply.HeardAgoMs = max(time.Since(heard).Milliseconds(), 0)
 	}
 	for _, item := range c.Items {
--- a/catalog/listing.go
+++ b/catalog/listing.go
@@ -18,7 +18,7 @@
 	keepCutOff = time.Hour
 )
 
-// Listing holds the backend servers that the host list named of late. It is
+// ServerList holds the backend servers that the host list named of late. It is
 // pure, and not safe for concurrent use.
 //
 // Failure: the list is empty or cut short for seconds. It shows as every query
@@ -27,7 +27,7 @@
 // for keepAbsent from lists that name at least half of the known ones, and an
 // empty list takes off nobody. That a server is leaving is said by its row or
 // by itself, never by its absence.
-type Listing struct {
+type ServerList struct {
 	servers map[string]listed
 }
 
@@ -36,12 +36,12 @@
 	at  time.Time // of the last reading that named it
 }
 
-// NewListing makes an empty listing.
-func NewListing() *Listing { return &Listing{servers: make(map[string]listed)} }
+// NewServerList makes an empty listing.
+func NewServerList() *ServerList { return &ServerList{servers: make(map[string]listed)} }
 
-// Read takes in a reading of the host list and returns the servers in force,
+// Update takes in a reading of the host list and returns the servers in force,
 // sorted by name.
-func (l *Listing) Read(now time.Time, rows []metastore.ListedHost) []metastore.ListedHost {
+func (l *ServerList) Update(now time.Time, rows []metastore.ListedHost) []metastore.ListedHost {
 	keep := keepAbsent
 	if 2*len(rows) < len(l.servers) {
 		keep = keepCutOff
@@ -55,7 +55,7 @@
 	return l.all()
 }
 
-func (l *Listing) forget(now time.Time, keep time.Duration) {
+func (l *ServerList) forget(now time.Time, keep time.Duration) {
 	for name, server := range l.servers {
 		if now.Sub(server.at) > keep {
 			delete(l.servers, name)
@@ -63,7 +63,7 @@
 	}
 }
 
-func (l *Listing) all() []metastore.ListedHost {
+func (l *ServerList) all() []metastore.ListedHost {
 	rows := make([]metastore.ListedHost, 0, len(l.servers))
 	for _, server := range l.servers {
 		rows = append(rows, server.row)
--- a/cli/bundle_rollout.go
+++ b/cli/bundle_rollout.go
@@ -87,7 +87,7 @@
 	return command
 }
 
-func printHistory(w io.Writer, accepted []rollout.Accepted) {
+func printHistory(w io.Writer, accepted []rollout.AcceptedGeneration) {
 	if len(accepted) == 0 {
 		fmt.Fprintln(w, "nothing was accepted yet")
 		return
@@ -193,8 +193,8 @@
 		switch {
 		case host.Error != "":
 			state = "no answer: " + host.Error
-		case host.Lags > 0:
-			state = fmt.Sprintf("lags by %d", host.Lags)
+		case host.GenerationsBehind > 0:
+			state = fmt.Sprintf("lags by %d", host.GenerationsBehind)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", host.Address, host.Host, host.Generation, state)
 	}
--- a/cli/resultcodes.go
+++ b/cli/resultcodes.go
@@ -14,7 +14,7 @@
 		Short: "Print the page of result codes (docs/result-codes.md)",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprint(cmd.OutOrStdout(), result.Document())
+			_, err := fmt.Fprint(cmd.OutOrStdout(), result.Markdown())
 			return err
 		},
 	}
--- a/client/advice.go
+++ b/client/advice.go
@@ -51,7 +51,7 @@
 		return
 	}
 	h.hosts = a.Hosts
-	h.until = now.Add(time.Duration(a.KeepMS) * time.Millisecond)
+	h.until = now.Add(time.Duration(a.TTLMillis) * time.Millisecond)
 }
 
 func (h *hosts) notAsked() {
--- a/control.go
+++ b/control.go
@@ -17,7 +17,7 @@
 	h.parts.Local.Refresh()
 	h.parts.Admission.Reconfigure(config)
 	h.parts.Crashes.book.Reconfigure(config)
-	news := h.parts.Rollout.News()
+	news := h.parts.Rollout.ConfigUpdate()
 	h.parts.Member.AnnounceConfig(news.GetGeneration(), news.GetManifestHash())
 	h.parts.Log.Info("configuration in force", zap.Uint64("generation", config.Generation))
 }
@@ -31,7 +31,7 @@
 func (h *Host) join(ctx context.Context) error {
 	ticker := time.NewTicker(joinPoll)
 	defer ticker.Stop()
-	for h.Config() == nil || h.parts.Catalog.HeardAt().IsZero() {
+	for h.Config() == nil || h.parts.Catalog.LastContact().IsZero() {
 		select {
 		case <-ctx.Done():
 			return nil
--- a/crashes.go
+++ b/crashes.go
@@ -23,7 +23,7 @@
 // servers. It implements homeserver.Watcher.
 type crashes struct {
 	servers *servers
-	book    *quarantine.Book
+	book    *quarantine.Registry
 	tracker *quarantine.Tracker
 	members *member.Agent
 	log     *zap.Logger
@@ -32,12 +32,12 @@
 
 // Refuse implements homeserver.Watcher.
 func (c *crashes) Refuse(request leg.Request) *result.Error {
-	return c.book.JudgeLeg(c.now(), quarantine.Fingerprint(request.Fingerprint), request.Service, c.tracker)
+	return c.book.CheckLeg(c.now(), quarantine.Fingerprint(request.Fingerprint), request.Service, c.tracker)
 }
 
 // Started implements homeserver.Watcher.
 func (c *crashes) Started(id ident.AttemptID, server backend.Server, fingerprint uint64) {
-	c.tracker.Start(c.now(), id, lifeOf(server), quarantine.Fingerprint(fingerprint))
+	c.tracker.AttemptStarted(c.now(), id, lifeOf(server), quarantine.Fingerprint(fingerprint))
 }
 
 func lifeOf(server backend.Server) quarantine.Server {
@@ -50,15 +50,15 @@
 func (c *crashes) Ended(id ident.AttemptID, server backend.Server, fingerprint uint64, end backend.Attempt) (suspect bool) {
 	c.servers.ended(server, end)
 	f := quarantine.Fingerprint(fingerprint)
-	c.note(c.tracker.End(c.now(), id, end.Outcome, end.Fault, end.Reply.Incarnation))
+	c.note(c.tracker.AttemptEnded(c.now(), id, end.Outcome, end.Fault, end.Reply.Incarnation))
 	if end.Fault == backend.FaultBroken && !connects(server.Address) {
-		c.note(c.tracker.Unreachable(c.now(), server.Name))
+		c.note(c.tracker.ConnectRefused(c.now(), server.Name))
 	}
 	if end.Usable() {
-		c.condemned(c.book.Answered(c.now(), f, server.Service))
+		c.condemned(c.book.RecordSuccess(c.now(), f, server.Service))
 		return false
 	}
-	return c.book.Suspected(c.now(), f, server.Service)
+	return c.book.IsSuspected(c.now(), f, server.Service)
 }
 
 func connects(address string) bool {
@@ -72,12 +72,12 @@
 
 func (c *crashes) note(event quarantine.Event) {
 	switch {
-	case event.Died != nil:
-		c.log.Info("backend server died", zap.String("server", event.Died.Name), zap.Int("requests_in_flight", len(event.Died.Blamed)))
-		c.condemned(c.book.Died(c.now(), *event.Died))
-	case event.Lives != nil:
-		c.log.Info("backend server taken for dead lives", zap.String("server", event.Lives.Name))
-		c.book.Lives(*event.Lives)
+	case event.Crashed != nil:
+		c.log.Info("backend server died", zap.String("server", event.Crashed.Name), zap.Int("requests_in_flight", len(event.Crashed.Suspects)))
+		c.condemned(c.book.RecordCrash(c.now(), *event.Crashed))
+	case event.Recovered != nil:
+		c.log.Info("backend server taken for dead lives", zap.String("server", event.Recovered.Name))
+		c.book.RetractCrash(*event.Recovered)
 	}
 }
 
@@ -87,11 +87,11 @@
 		return
 	}
 	c.log.Warn("request is quarantined", zap.Stringer("fingerprint", f))
-	for _, news := range c.book.ToNews(c.now()) {
+	for _, news := range c.book.ActiveEvidence(c.now()) {
 		if news.Fingerprint != f {
 			continue
 		}
-		c.members.AnnounceSuspectRequest(member.SuspectRequestNews{
+		c.members.AnnounceSuspectRequest(member.SuspectRequestUpdate{
 			Fingerprint:       uint64(news.Fingerprint),
 			Server:            news.Server,
 			ServerIncarnation: news.Incarnation,
@@ -101,8 +101,8 @@
 }
 
 // absorb takes in another host's verdict.
-func (c *crashes) absorb(news member.SuspectRequestNews) {
-	fresh := c.book.Absorb(c.now(), []quarantine.News{{
+func (c *crashes) absorb(news member.SuspectRequestUpdate) {
+	fresh := c.book.Merge(c.now(), []quarantine.Evidence{{
 		Fingerprint: quarantine.Fingerprint(news.Fingerprint),
 		Server:      news.Server,
 		Incarnation: news.ServerIncarnation,
@@ -118,7 +118,7 @@
 func (c *crashes) answered(started time.Time, f quarantine.Fingerprint, answer *scatter.Answer) {
 	now := c.now()
 	if lost := lostServices(answer); lost != nil {
-		c.book.LostQuery(now, f, lost)
+		c.book.RecordLostQuery(now, f, lost)
 		return
 	}
 	missing := make(map[string]bool, len(answer.Missing))
@@ -127,7 +127,7 @@
 	}
 	for _, l := range answer.Legs {
 		if !missing[l.Service] {
-			c.condemned(c.book.LegAnswered(now, started, f, l.Service))
+			c.condemned(c.book.RecordLegSuccess(now, started, f, l.Service))
 		}
 	}
 }
--- a/demo/shape.go
+++ b/demo/shape.go
@@ -66,22 +66,22 @@
 			{
 				Name: routeScreens, Kind: bundle.KindQuery, Index: indexBookingDesk,
 				Callers: []string{callerScreens}, Classes: []string{classInteractive},
-				Prefer: bundle.PreferLatency, LeastCoverage: 0.8,
+				Prefer: bundle.PreferLatency, MinCoverage: 0.8,
 			},
 			{
 				Name: routeSlots, Kind: bundle.KindQuery, Index: indexBookingDesk,
 				Callers: []string{callerSales}, Classes: []string{classStandard, classBatch},
-				Prefer: bundle.PreferCoverage, LeastCoverage: 0.9,
+				Prefer: bundle.PreferCoverage, MinCoverage: 0.9,
 			},
 			{
 				Name: routeInventory, Kind: bundle.KindQuery, Index: indexTransitPlanner,
 				Callers: []string{callerTransit}, Classes: []string{classStandard, classBatch},
-				Prefer: bundle.PreferCoverage, LeastCoverage: 1,
+				Prefer: bundle.PreferCoverage, MinCoverage: 1,
 			},
 			{
 				Name: routeBook, Kind: bundle.KindBooking, Index: indexBookingDesk,
 				Callers: []string{callerSales}, Classes: []string{classStandard},
-				Prefer: bundle.PreferCoverage, LeastCoverage: 1,
+				Prefer: bundle.PreferCoverage, MinCoverage: 1,
 			},
 		},
 		Policy: bundle.Policy{AdviceFor: bundle.Duration(5 * time.Second)},
--- a/discover/follower.go
+++ b/discover/follower.go
@@ -31,24 +31,24 @@
 	Prefix string
 	Now    func() time.Time
 	Logger *zap.Logger
-	// Apply hears each change, with all objects, on the Follower's goroutine,
+	// OnChange hears each change, with all objects, on the Follower's goroutine,
 	// and the store's revision at which it holds.
-	Apply func(objects []metastore.Object, revision metastore.Revision)
-	// Watches tells whether this host watches the store itself; the others
+	OnChange func(objects []metastore.Object, revision metastore.Revision)
+	// IsWatcher tells whether this host watches the store itself; the others
 	// follow their peers.
-	Watches func() bool
-	// Watchers tells how many hosts watch it; nil: this one only.
-	Watchers func() int
+	IsWatcher func() bool
+	// WatcherCount tells how many hosts watch it; nil: this one only.
+	WatcherCount func() int
 	// Joined tells whether a peer has answered this host and so told what it knows;
 	// nil: unknown.
 	Joined func() bool
-	// StaleStart lets the first list be seconds old. Each of a fleet that starts reads it,
+	// AllowStaleFirstList lets the first list be seconds old. Each of a fleet that starts reads it,
 	// and the first watch brings what it lacks.
-	StaleStart bool
-	// Settle tells how long changes are gathered before the next watch, so that a
+	AllowStaleFirstList bool
+	// BatchInterval tells how long changes are gathered before the next watch, so that a
 	// start of many servers costs each host a few calls; nil or 0: not at all. Where
 	// many hosts watch it is longer, see gatherFor.
-	Settle func() time.Duration
+	BatchInterval func() time.Duration
 	// Order tells which of two writes of an object is older where the store's revisions
 	// can't, since it was restored from a backup; nil: nothing does.
 	Order OrderOf
@@ -60,9 +60,9 @@
 type Hint struct {
 	Peers    []string // addresses of peers to ask, in this order
 	Revision metastore.Revision
-	// Newer: they know newer writes than this host by what the writers say, whatever the
+	// HasNewerWrites: they know newer writes than this host by what the writers say, whatever the
 	// revisions.
-	Newer bool
+	HasNewerWrites bool
 }
 
 // Follower keeps a Mirror of the objects below a prefix: one list, then watches
@@ -85,13 +85,13 @@
 	return &Follower{config: config, mirror: NewMirror(config.Order), hints: make(chan Hint, 1), listReason: listAtStart}
 }
 
-// Listed reports whether a whole list is known.
-func (f *Follower) Listed() bool { return f.listed.Load() }
+// HasSynced reports whether a whole list is known.
+func (f *Follower) HasSynced() bool { return f.listed.Load() }
 
-// HeardAt is when the store last answered this host, or the peers that it
+// LastContact is when the store last answered this host, or the peers that it
 // follows; zero: never. A host that has to watch itself from now on, since its
 // peers are lost, is not cut off before it has had time to.
-func (f *Follower) HeardAt() time.Time {
+func (f *Follower) LastContact() time.Time {
 	if at := f.heardAt.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
@@ -101,9 +101,9 @@
 // Revision is the store's revision up to which changes are known.
 func (f *Follower) Revision() metastore.Revision { return metastore.Revision(f.revision.Load()) }
 
-// Hear hands in a peer's word. One waits at most: it comes again with each
+// Notify hands in a peer's word. One waits at most: it comes again with each
 // message between hosts.
-func (f *Follower) Hear(hint Hint) {
+func (f *Follower) Notify(hint Hint) {
 	select {
 	case f.hints <- hint:
 	default:
@@ -146,7 +146,7 @@
 // watch that fails.
 func (f *Follower) followOnce(ctx context.Context, well func()) error {
 	if !f.startFromPeers(ctx) {
-		first := !f.Listed()
+		first := !f.HasSynced()
 		if err := f.list(ctx); err != nil {
 			return err
 		}
@@ -155,7 +155,7 @@
 		}
 	}
 	for ctx.Err() == nil {
-		if f.config.Watches() {
+		if f.config.IsWatcher() {
 			if err := f.watch(ctx); err != nil {
 				return err
 			}
@@ -198,7 +198,7 @@
 // startFromPeers takes the first list from peers, and reports whether one gave
 // it. Where all hosts start at once none can.
 func (f *Follower) startFromPeers(ctx context.Context) bool {
-	if f.Listed() {
+	if f.HasSynced() {
 		return false // what follows a loss comes from the store
 	}
 	over := time.NewTimer(peersWait)
@@ -229,7 +229,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	read := f.config.Store.List
-	if f.config.StaleStart && !f.Listed() {
+	if f.config.AllowStaleFirstList && !f.HasSynced() {
 		read = f.config.Store.ListStale
 	}
 	objects, revision, err := read(ctx, f.config.Prefix)
@@ -248,7 +248,7 @@
 	rewound := f.listReason == listWithoutHistory && f.rewind(revision)
 	f.advance(revision)
 	changed := f.mirror.Replace(f.config.Now(), objects, revision)
-	f.apply(changed || rewound || !f.Listed() || regained)
+	f.apply(changed || rewound || !f.HasSynced() || regained)
 	// Only now: a host that is ready before it has applied the list refuses its
 	// first requests for lack of servers.
 	f.listed.Store(true)
@@ -311,7 +311,7 @@
 
 // followPeers takes changes from peers until this host has to watch itself.
 func (f *Follower) followPeers(ctx context.Context) {
-	for ctx.Err() == nil && !f.config.Watches() {
+	for ctx.Err() == nil && !f.config.IsWatcher() {
 		timer := time.NewTimer(min(roleCheck, f.untilTick()))
 		select {
 		case hint := <-f.hints:
@@ -332,7 +332,7 @@
 	for _, address := range hint.Peers {
 		after := f.Revision()
 		if hint.Revision <= after {
-			if !hint.Newer || found {
+			if !hint.HasNewerWrites || found {
 				break
 			}
 			after = 0 // everything: the newer writes may have revisions below the one known
@@ -381,19 +381,19 @@
 
 // settle lets more changes gather after some have come.
 func (f *Follower) settle(ctx context.Context, changes int) {
-	if changes == 0 || f.config.Settle == nil {
+	if changes == 0 || f.config.BatchInterval == nil {
 		return
 	}
-	if usual := f.config.Settle(); usual > 0 {
+	if usual := f.config.BatchInterval(); usual > 0 {
 		f.pause(ctx, gatherFor(usual, f.watchers()))
 	}
 }
 
 func (f *Follower) watchers() int {
-	if f.config.Watchers == nil {
+	if f.config.WatcherCount == nil {
 		return 1
 	}
-	return f.config.Watchers()
+	return f.config.WatcherCount()
 }
 
 // idleTick is how long the loop sleeps when nothing is due.
@@ -439,5 +439,5 @@
 	revision := f.Revision()
 	objects := f.mirror.Objects()
 	f.known.Store(f.mirror.known(objects, revision))
-	f.config.Apply(objects, revision)
+	f.config.OnChange(objects, revision)
 }
--- a/draining/draining.go
+++ b/draining/draining.go
@@ -29,8 +29,8 @@
 	SignalLost
 )
 
-// Life is one life of a backend server.
-type Life struct {
+// Instance is one life of a backend server.
+type Instance struct {
 	Server      string
 	Incarnation uint64
 }
@@ -79,21 +79,21 @@
 	return t.leave(now, s, incarnation)
 }
 
-// Absorb takes in another entry host's news of a life that left. It reports
+// MarkLeft takes in another entry host's news of a life that left. It reports
 // whether that was new.
-func (t *Table) Absorb(now time.Time, news Life) bool {
+func (t *Table) MarkLeft(now time.Time, news Instance) bool {
 	return t.leave(now, t.server(now, news.Server), news.Incarnation)
 }
 
-// HostList takes in the backend servers on the platform's host list and
+// ApplyHostList takes in the backend servers on the platform's host list and
 // returns the lives that it shows leaving for the first time.
 //
 // The failure: the list is empty or cut short for a moment, and every service
 // would lose all its servers. So absence from the list means nothing here: only
 // a row that says "leaving" takes a server out. A lagging list that still says
 // "live" brings nobody back either, as the life it names has left.
-func (t *Table) HostList(now time.Time, rows []metastore.ListedHost) []Life {
-	var news []Life
+func (t *Table) ApplyHostList(now time.Time, rows []metastore.ListedHost) []Instance {
+	var news []Instance
 	for _, row := range rows {
 		if row.Kind != metastore.KindBackend {
 			continue
@@ -104,7 +104,7 @@
 			continue
 		}
 		if t.leave(now, s, row.Incarnation) {
-			news = append(news, Life{Server: row.Name, Incarnation: row.Incarnation})
+			news = append(news, Instance{Server: row.Name, Incarnation: row.Incarnation})
 		}
 	}
 	t.forget(now)
@@ -118,8 +118,8 @@
 	return s == nil || !s.hasLeft(s.current)
 }
 
-// AllowedLife reports whether that life of the server may be given new work.
-func (t *Table) AllowedLife(l Life) bool {
+// AllowedInstance reports whether that life of the server may be given new work.
+func (t *Table) AllowedInstance(l Instance) bool {
 	s := t.servers[l.Server]
 	return s == nil || !s.hasLeft(l.Incarnation)
 }
--- a/eligible/eligible.go
+++ b/eligible/eligible.go
@@ -12,8 +12,8 @@
 const (
 	// Allowed: it may.
 	Allowed Reason = iota
-	// NotKnown: which zones are evacuated is not known yet.
-	NotKnown
+	// EvacuationsUnknown: which zones are evacuated is not known yet.
+	EvacuationsUnknown
 	// ZoneEvacuated: the operator wants nothing sent to the server's zone.
 	ZoneEvacuated
 	// OtherRegion: the request's route is bound to other regions.
@@ -37,17 +37,17 @@
 	Cold map[string]time.Time
 }
 
-// Zone decides whether a request that is bound to the regions may go to servers of the
+// CheckZone decides whether a request that is bound to the regions may go to servers of the
 // availability zone; no regions: any.
 //
 // Load: every way to a server (a first attempt, a hedge, a retry, a leg of another host,
 // one taken over) asks at the moment of sending. Harm prevented: one of them was queued,
 // or chosen by a host that knows less, before the operator's word came, and reaches a
 // zone that is being taken down, or a region that must not see the request.
-func (r *Rules) Zone(zone string, regions []string) Reason {
+func (r *Rules) CheckZone(zone string, regions []string) Reason {
 	switch {
 	case r == nil || r.Evacuations == nil:
-		return NotKnown
+		return EvacuationsUnknown
 	case r.Evacuations.Active(zone):
 		return ZoneEvacuated
 	case !InRegions(regions, r.Regions[zone]):
@@ -57,11 +57,11 @@
 	}
 }
 
-// ForOthers decides whether this host may pass another host's request on to the server.
+// CheckForwarded decides whether this host may pass another host's request on to the server.
 // The other host does not count what this one sends to a cold server, so nothing goes
 // there.
-func (r *Rules) ForOthers(now time.Time, server, zone string, regions []string) Reason {
-	if reason := r.Zone(zone, regions); reason != Allowed {
+func (r *Rules) CheckForwarded(now time.Time, server, zone string, regions []string) Reason {
+	if reason := r.CheckZone(zone, regions); reason != Allowed {
 		return reason
 	}
 	if now.Before(r.Cold[server]) {
--- a/eligible/evacuation.go
+++ b/eligible/evacuation.go
@@ -23,8 +23,8 @@
 	Evacuated bool
 }
 
-// With is what holds once exactly these zones are evacuated, and what has changed.
-func (e *Evacuations) With(now time.Time, zones []string) (*Evacuations, []ZoneChange) {
+// Update is what holds once exactly these zones are evacuated, and what has changed.
+func (e *Evacuations) Update(now time.Time, zones []string) (*Evacuations, []ZoneChange) {
 	next := &Evacuations{active: make(map[string]bool), returned: make(map[string]time.Time)}
 	if e != nil {
 		maps.Copy(next.returned, e.returned)
--- a/eligible/warmup.go
+++ b/eligible/warmup.go
@@ -4,17 +4,17 @@
 
 // Warmup is what the backend servers of a service bear while they are cold.
 type Warmup struct {
-	// For is how long a server stays cold after its start.
-	For time.Duration
+	// Duration is how long a server stays cold after its start.
+	Duration time.Duration
 	// PerSecond is how many requests a cold server bears a second; 0: no bound.
 	PerSecond float64
 }
 
 // Bounded reports whether the load of cold servers is bounded.
-func (w Warmup) Bounded() bool { return w.PerSecond > 0 && w.For > 0 }
+func (w Warmup) Bounded() bool { return w.PerSecond > 0 && w.Duration > 0 }
 
-// WarmupBounds are how far all hosts together may go beyond Warmup.PerSecond.
-type WarmupBounds struct {
+// WarmupTolerance are how far all hosts together may go beyond Warmup.PerSecond.
+type WarmupTolerance struct {
 	Overshoot float64 // factor
 	Slack     float64 // requests in a second
 }
@@ -23,14 +23,14 @@
 // and one that still believes to be it, since it is about to be taken for lost.
 const warmingHosts = 2
 
-// Share is how many requests the host that warms a server may send it in any second.
+// PerHostRate is how many requests the host that warms a server may send it in any second.
 //
 // Load: a server comes back cold while hundreds of hosts want to use it. Harm prevented:
 // each sends a little, the sum is several times what the server bears, and it crashes
 // again. A part for each host would be below one request, and hosts hear of each other's
 // sendings too late, so one host sends and the others don't. Limit: half of the bound,
 // so that two hosts that both believe to be the one keep it.
-func (b WarmupBounds) Share(w Warmup) int {
+func (b WarmupTolerance) PerHostRate(w Warmup) int {
 	return int((w.PerSecond*max(b.Overshoot, 1) + b.Slack) / warmingHosts)
 }
 
@@ -45,19 +45,19 @@
 	contactWait = 1200 * time.Millisecond
 )
 
-// Contact is what a host knows of its peers.
-type Contact struct {
+// PeerContact is what a host knows of its peers.
+type PeerContact struct {
 	// Alone: no other host is known.
 	Alone bool
-	// HeardAt is when a peer last answered; zero: never.
-	HeardAt time.Time
+	// LastContact is when a peer last answered; zero: never.
+	LastContact time.Time
 }
 
-// Turn is since when it has been this host's turn to warm servers; zero: it is not.
-type Turn struct{ since time.Time }
+// WarmupRole is since when it has been this host's turn to warm servers; zero: it is not.
+type WarmupRole struct{ since time.Time }
 
-// Set notes whether it is this host's turn now.
-func (t *Turn) Set(now time.Time, mine bool) {
+// SetAssigned notes whether it is this host's turn now.
+func (t *WarmupRole) SetAssigned(now time.Time, mine bool) {
 	switch {
 	case !mine:
 		t.since = time.Time{}
@@ -66,18 +66,18 @@
 	}
 }
 
-// Restart notes that what the turn is for has changed.
-func (t *Turn) Restart() { t.since = time.Time{} }
+// Reset notes that what the turn is for has changed.
+func (t *WarmupRole) Reset() { t.since = time.Time{} }
 
-// Warms reports whether this host may warm servers now.
-func (t *Turn) Warms(now time.Time, contact Contact) bool {
+// MayWarm reports whether this host may warm servers now.
+func (t *WarmupRole) MayWarm(now time.Time, contact PeerContact) bool {
 	if t.since.IsZero() || now.Sub(t.since) < handover {
 		return false
 	}
 	if contact.Alone {
-		return contact.HeardAt.IsZero() // one that has lost all peers is cut off
+		return contact.LastContact.IsZero() // one that has lost all peers is cut off
 	}
-	return now.Sub(contact.HeardAt) <= contactWait
+	return now.Sub(contact.LastContact) <= contactWait
 }
 
 // Starts remembers when requests were sent to a server, as far back as a bound on a
--- a/entry/advise.go
+++ b/entry/advise.go
@@ -36,8 +36,8 @@
 	weightSteps = 1000
 )
 
-// Asker is who asks for advice.
-type Asker struct {
+// AdviceRequest is who asks for advice.
+type AdviceRequest struct {
 	// Key tells callers' processes apart, such as the caller's name with its
 	// client address: each gets its own, lasting order of hosts.
 	Key    string
@@ -51,8 +51,8 @@
 	// the first, and the next when it fails; one that spreads its requests
 	// does so by the weights.
 	Hosts []Host `json:"hosts"`
-	// KeepMS is how long the answer may be kept, in milliseconds.
-	KeepMS int64 `json:"keep_ms"`
+	// TTLMillis is how long the answer may be kept, in milliseconds.
+	TTLMillis int64 `json:"keep_ms"`
 }
 
 // Host is one entry host to use.
@@ -77,13 +77,13 @@
 // limits: the caller's own zone first, by ten to one while nothing is loaded;
 // the order is a weighted rendezvous of caller and host, so when a host
 // leaves, only its callers move, and as a weight shrinks, just that part.
-func (a *Advisor) Advise(view *member.View, asker Asker, keep time.Duration, rnd *rand.Rand) Advice {
+func (a *Advisor) Advise(view *member.View, asker AdviceRequest, keep time.Duration, rnd *rand.Rand) Advice {
 	candidates := a.best(view, asker)
 	total := 0.0
 	for _, c := range candidates {
 		total += c.weight
 	}
-	advice := Advice{KeepMS: spreadKeep(keep, rnd).Milliseconds()}
+	advice := Advice{TTLMillis: spreadKeep(keep, rnd).Milliseconds()}
 	for _, c := range candidates {
 		weight := math.Ceil(weightSteps*c.weight/total) / weightSteps
 		advice.Hosts = append(advice.Hosts, Host{Address: c.host.CallerAddress, Zone: c.host.Zone, Weight: weight})
@@ -97,7 +97,7 @@
 
 // best are the hosts that rank first for the asker, in order. Leaving and
 // dead hosts are out at once; suspects stay, since most are well.
-func (a *Advisor) best(view *member.View, asker Asker) []candidate {
+func (a *Advisor) best(view *member.View, asker AdviceRequest) []candidate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count := countServing(view, asker)
@@ -123,7 +123,7 @@
 	return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.host.ID, y.host.ID))
 }
 
-func countServing(view *member.View, asker Asker) (count [distances]int) {
+func countServing(view *member.View, asker AdviceRequest) (count [distances]int) {
 	for i := range view.Hosts {
 		if view.Hosts[i].Serving() {
 			count[distanceOf(&view.Hosts[i], asker)]++
@@ -141,7 +141,7 @@
 	distances
 )
 
-func distanceOf(host *member.Host, asker Asker) distance {
+func distanceOf(host *member.Host, asker AdviceRequest) distance {
 	switch {
 	case host.Region != asker.Region && asker.Region != "":
 		return elsewhere
--- a/entry/carriers.go
+++ b/entry/carriers.go
@@ -20,7 +20,7 @@
 	nearShare = 0.5
 )
 
-// Carriers chooses the few hosts that carry the callers' requests; all others
+// AdvisedHosts chooses the few hosts that carry the callers' requests; all others
 // stand by. serversIn counts the backend servers of each availability zone.
 //
 // Load: a fleet whose requests each go to 20 to 92 services of a few slots.
@@ -32,7 +32,7 @@
 // servers, two in all, and more as those get busy. The largest hosts are
 // taken first, and of these the ones that have served for longest, so that a
 // restart moves no callers but its own.
-func Carriers(view *member.View, serversIn map[string]int) []member.Host {
+func AdvisedHosts(view *member.View, serversIn map[string]int) []member.Host {
 	byZone := servingByZone(view)
 	var chosen, rest, spare []member.Host
 	well := anyWell(byZone)
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -26,10 +26,10 @@
 	largeShare = 0.5
 )
 
-// Splits reports whether a search over so many services is split.
-func Splits(services int) bool { return services >= splitFrom }
+// ShouldSplit reports whether a search over so many services is split.
+func ShouldSplit(services int) bool { return services >= splitFrom }
 
-// Homes chooses the hosts that share the services of the largest search among them, for
+// SearchHomes chooses the hosts that share the services of the largest search among them, for
 // roots in the availability zone; nil: each host asks all of them itself. serversIn counts
 // the backend servers of each zone, services those of the search.
 //
@@ -40,8 +40,8 @@
 // if it holds servers and they are quick enough, since each reply that crosses zones costs
 // the users some 150 bytes; else of all such zones equally many, so that the loss of one
 // leaves the others.
-func Homes(view *member.View, serversIn map[string]int, services int, zone string) []member.Host {
-	if !Splits(services) {
+func SearchHomes(view *member.View, serversIn map[string]int, services int, zone string) []member.Host {
+	if !ShouldSplit(services) {
 		return nil
 	}
 	byZone := largeByZone(view, serversIn)
@@ -65,7 +65,7 @@
 // roots of each availability zone that shares searches among its own hosts, and one for
 // all others. Only zones that hold servers count: callers are advised hosts there.
 func HomesPerService(view *member.View, serversIn map[string]int, services int) int {
-	if !Splits(services) {
+	if !ShouldSplit(services) {
 		return 0
 	}
 	byZone := largeByZone(view, serversIn)
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -6,9 +6,9 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// InRegion is the view without the hosts of other regions. Where there are none it is the
+// FilterRegions is the view without the hosts of other regions. Where there are none it is the
 // view itself: most fleets have one region, and each caller asks once a second.
-func InRegion(view *member.View, regions ...string) *member.View {
+func FilterRegions(view *member.View, regions ...string) *member.View {
 	elsewhere := func(h member.Host) bool { return !slices.Contains(regions, h.Region) }
 	if !slices.ContainsFunc(view.Hosts, elsewhere) {
 		return view
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -51,8 +51,8 @@
 }
 
 func encodeResult(id uint64, r leg.Result) *exchangepb.LegReply {
-	held := make([]uint64, len(r.Held))
-	for i, version := range r.Held {
+	held := make([]uint64, len(r.HeldSnapshots))
+	for i, version := range r.HeldSnapshots {
 		held[i] = uint64(version)
 	}
 	return &exchangepb.LegReply{
@@ -69,7 +69,7 @@
 		Hedges:       uint32(r.Hedges),
 		RetryAfterNs: int64(r.RetryAfter),
 		Held:         held,
-		WaitNs:       int64(r.Wait),
+		WaitNs:       int64(r.QueueTime),
 	}
 }
 
@@ -79,18 +79,18 @@
 		held[i] = snapshot.Version(version)
 	}
 	r := leg.Result{
-		Shard:      snapshot.ShardID(m.GetShard()),
-		Snapshot:   snapshot.Version(m.GetSnapshot()),
-		Outcome:    result.Outcome(m.GetOutcome()),
-		Code:       result.Code(m.GetCode()),
-		Detail:     m.GetDetail(),
-		Body:       m.GetBody(),
-		Digest:     m.GetDigest(),
-		Attempts:   int(m.GetAttempts()),
-		Hedges:     int(m.GetHedges()),
-		RetryAfter: time.Duration(m.GetRetryAfterNs()),
-		Held:       held,
-		Wait:       time.Duration(m.GetWaitNs()),
+		Shard:         snapshot.ShardID(m.GetShard()),
+		Snapshot:      snapshot.Version(m.GetSnapshot()),
+		Outcome:       result.Outcome(m.GetOutcome()),
+		Code:          result.Code(m.GetCode()),
+		Detail:        m.GetDetail(),
+		Body:          m.GetBody(),
+		Digest:        m.GetDigest(),
+		Attempts:      int(m.GetAttempts()),
+		Hedges:        int(m.GetHedges()),
+		RetryAfter:    time.Duration(m.GetRetryAfterNs()),
+		HeldSnapshots: held,
+		QueueTime:     time.Duration(m.GetWaitNs()),
 	}
 	copy(r.Request[:], m.GetRequestId())
 	return r
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -107,7 +107,7 @@
 	if first {
 		l.out.put(item{head: encodeHead(head, request, l.now())})
 	}
-	if request.Server == "" {
+	if request.DirectServer == "" {
 		return encodeShared(id, head, request)
 	}
 	return encodeNamed(id, head, request, l.now())
--- a/exchange/named.go
+++ b/exchange/named.go
@@ -20,24 +20,24 @@
 	return &exchangepb.LegRequest{
 		Leg:          id,
 		Head:         head,
-		Server:       r.Server,
+		Server:       r.DirectServer,
 		DeadlineInNs: int64(r.Deadline.Sub(now)),
-		MostRecords:  uint32(r.MostRecords),
-		Rest:         r.Rest,
+		MostRecords:  uint32(r.MaxRecords),
+		Rest:         r.FullAnswer,
 		// told only where the servers say it: it takes eight bytes a part
-		ServerIncarnation: r.ServerIncarnation,
+		ServerIncarnation: r.DirectIncarnation,
 		Body:              r.Body,
 	}
 }
 
 func decodeNamed(m *exchangepb.LegRequest, head *forward.Request, now time.Time) leg.Request {
 	return leg.Request{
-		Server:            m.GetServer(),
+		DirectServer:      m.GetServer(),
 		Deadline:          now.Add(time.Duration(m.GetDeadlineInNs())),
 		Idempotent:        true,
-		MostRecords:       int(m.GetMostRecords()),
-		Rest:              m.GetRest(),
-		ServerIncarnation: m.GetServerIncarnation(),
+		MaxRecords:        int(m.GetMostRecords()),
+		FullAnswer:        m.GetRest(),
+		DirectIncarnation: m.GetServerIncarnation(),
 		Body:              m.GetBody(),
 		Forward:           head,
 	}
@@ -48,7 +48,7 @@
 	end := &exchangepb.AttemptEnd{
 		Outcome:      uint32(a.Outcome),
 		Fault:        uint32(a.Fault),
-		Cut:          r.Cut,
+		Cut:          r.Truncated,
 		Running:      uint32(a.Reply.Load.Running),
 		Queued:       uint32(a.Reply.Load.Queued),
 		Slots:        uint32(a.Reply.Load.Slots),
@@ -73,7 +73,7 @@
 	a.Reply.Load = backend.Load{Running: int(end.GetRunning()), Queued: int(end.GetQueued()), Slots: int(end.GetSlots())}
 	a.Reply.Forwarded = &forward.Reply{Body: m.GetBody(), Signature: end.GetSignature()}
 	r := leg.Failed(request, 0, a.Outcome, "")
-	r.Body, r.Attempt, r.Cut = m.GetBody(), a, end.GetCut()
+	r.Body, r.Attempt, r.Truncated = m.GetBody(), a, end.GetCut()
 	return r
 }
 
@@ -83,7 +83,7 @@
 	for _, name := range slices.Sorted(maps.Keys(f.Header)) {
 		head.Headers = append(head.Headers, &exchangepb.Header{Name: name, Values: f.Header[name]})
 	}
-	if r.Server == "" {
+	if r.DirectServer == "" {
 		head.Share = encodeShare(r, now)
 	}
 	return head
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -100,8 +100,8 @@
 		return head
 	}
 	head.shared = decodeShare(m.GetShare(), head.forward, now)
-	silent := func(service string) bool { return in.server.Forecast(service, head.shared.Class).Silent }
-	head.replies = newGather(in.out.putAll, silent, in.server.now, head.shared.Due)
+	silent := func(service string) bool { return in.server.Forecast(service, head.shared.Class).Unresponsive }
+	head.replies = newGather(in.out.putAll, silent, in.server.now, head.shared.SoftDeadline)
 	return head
 }
 
@@ -154,7 +154,7 @@
 	}
 	request := head.shared
 	request.Service, request.Shard = m.GetService(), snapshot.ShardID(m.GetShard())
-	request.Body, request.Rest, request.Optional = m.GetBody(), m.GetRest(), m.GetOptional()
+	request.Body, request.FullAnswer, request.Optional = m.GetBody(), m.GetRest(), m.GetOptional()
 	return request, head.replies
 }
 
--- a/exchange/shared.go
+++ b/exchange/shared.go
@@ -22,8 +22,8 @@
 		DeadlineInNs: int64(r.Deadline.Sub(now)),
 		MaxServers:   uint32(r.MaxServers),
 	}
-	if !r.Due.IsZero() {
-		share.DueInNs = int64(r.Due.Sub(now))
+	if !r.SoftDeadline.IsZero() {
+		share.DueInNs = int64(r.SoftDeadline.Sub(now))
 	}
 	if merge := r.Forward.Merge; merge != nil {
 		share.Greatest, share.Services = uint32(merge.Greatest), uint32(merge.Services)
@@ -44,7 +44,7 @@
 		Forward:    head,
 	}
 	if m.GetDueInNs() != 0 {
-		r.Due = now.Add(time.Duration(m.GetDueInNs()))
+		r.SoftDeadline = now.Add(time.Duration(m.GetDueInNs()))
 	}
 	copy(r.Request[:], m.GetRequestId())
 	return r
@@ -52,7 +52,7 @@
 
 func encodeShared(id uint64, head uint32, r leg.Request) *exchangepb.LegRequest {
 	return &exchangepb.LegRequest{
-		Leg: id, Head: head, Service: r.Service, Shard: uint32(r.Shard), Body: r.Body, Rest: r.Rest, Optional: r.Optional,
+		Leg: id, Head: head, Service: r.Service, Shard: uint32(r.Shard), Body: r.Body, Rest: r.FullAnswer, Optional: r.Optional,
 	}
 }
 
@@ -68,9 +68,9 @@
 		Attempts:     uint32(r.Attempts),
 		Hedges:       uint32(r.Hedges),
 		RetryAfterNs: int64(r.RetryAfter),
-		WaitNs:       int64(r.Wait),
-		Cut:          r.Cut,
-		Forecast:     &exchangepb.Forecast{WaitUs: forecast.Wait.Microseconds(), RunUs: forecast.Run.Microseconds()},
+		WaitNs:       int64(r.QueueTime),
+		Cut:          r.Truncated,
+		Forecast:     &exchangepb.Forecast{WaitUs: forecast.QueueTime.Microseconds(), RunUs: forecast.ServiceTime.Microseconds()},
 	}
 	if r.Reply != nil {
 		m.Signature = r.Reply.Signature
@@ -82,14 +82,14 @@
 func decodeSharedReply(m *exchangepb.LegReply, request leg.Request) leg.Result {
 	r := leg.Failed(request, result.Code(m.GetCode()), result.Outcome(m.GetOutcome()), m.GetDetail())
 	r.Snapshot = snapshot.Version(m.GetSnapshot())
-	r.Body, r.Digest, r.Cut = m.GetBody(), m.GetDigest(), m.GetCut()
+	r.Body, r.Digest, r.Truncated = m.GetBody(), m.GetDigest(), m.GetCut()
 	r.Attempts, r.Hedges = int(m.GetAttempts()), int(m.GetHedges())
-	r.RetryAfter, r.Wait = time.Duration(m.GetRetryAfterNs()), time.Duration(m.GetWaitNs())
+	r.RetryAfter, r.QueueTime = time.Duration(m.GetRetryAfterNs()), time.Duration(m.GetWaitNs())
 	r.Reply = &forward.Reply{Body: r.Body, Signature: m.GetSignature()}
 	if f := m.GetForecast(); f != nil {
 		r.Forecast = &leg.Forecast{
-			Wait: time.Duration(f.GetWaitUs()) * time.Microsecond,
-			Run:  time.Duration(f.GetRunUs()) * time.Microsecond,
+			QueueTime:   time.Duration(f.GetWaitUs()) * time.Microsecond,
+			ServiceTime: time.Duration(f.GetRunUs()) * time.Microsecond,
 		}
 	}
 	return r
--- a/front/front.go
+++ b/front/front.go
@@ -158,7 +158,7 @@
 // before says so in a header too, so that its earlier sending is not denied.
 func unread(x *exchange, e *result.Error) *result.Error {
 	if x.r.Header.Get(HeaderResent) == "true" {
-		e.Code = booking.AtDoor(e.Code, true)
+		e.Code = booking.RefusalCode(e.Code, true)
 	}
 	return e
 }
@@ -212,7 +212,7 @@
 		return e
 	}
 	if e := f.service.Ready(); e != nil {
-		e.Code = booking.AtDoor(e.Code, m.Resent)
+		e.Code = booking.RefusalCode(e.Code, m.Resent)
 		return e
 	}
 	b := Booking{Query: q, Ticket: m.Ticket, IdempotencyKey: m.IdempotencyKey, Resent: m.Resent}
@@ -229,7 +229,7 @@
 	client, _, _ := net.SplitHostPort(x.r.RemoteAddr) // set by net/http
 	asked := x.r.URL.Query()
 	advice := f.service.Hosts(x.caller.Name+"@"+client, asked.Get("region"), asked.Get("zone"))
-	x.w.Header().Set("Cache-Control", "private, max-age="+strconv.FormatInt(advice.KeepMS/millisecondsPerSecond, 10))
+	x.w.Header().Set("Cache-Control", "private, max-age="+strconv.FormatInt(advice.TTLMillis/millisecondsPerSecond, 10))
 	f.write(x, http.StatusOK, advice)
 	return nil
 }
--- a/gateway/advise.go
+++ b/gateway/advise.go
@@ -5,14 +5,14 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// Asker is a caller that asks which hosts to use.
-type Asker struct {
+// AdviceRequest is a caller that asks which hosts to use.
+type AdviceRequest struct {
 	Host   string // host name that its requests will state
 	Region string // its own; empty: not known
 }
 
 // Advise names the hosts that the caller should use, by the callers' address.
-func (g *Gateway) Advise(asker Asker) []string {
+func (g *Gateway) Advise(asker AdviceRequest) []string {
 	var addresses []string
 	for _, host := range g.carriersFor(asker) {
 		addresses = append(addresses, host.CallerAddress)
@@ -20,16 +20,16 @@
 	return addresses
 }
 
-func (g *Gateway) carriersFor(asker Asker) []member.Host {
+func (g *Gateway) carriersFor(asker AdviceRequest) []member.Host {
 	view, servers := g.members.View(), g.serversByZone()
 	for _, regions := range entry.RegionOrder(asker.Region, g.boundTo(asker.Host), g.servesIn) {
-		if within := entry.InRegion(view, regions...); len(within.Hosts) > 0 {
-			if chosen := entry.Carriers(within, servers); len(chosen) > 0 {
+		if within := entry.FilterRegions(view, regions...); len(within.Hosts) > 0 {
+			if chosen := entry.AdvisedHosts(within, servers); len(chosen) > 0 {
 				return chosen
 			}
 		}
 	}
-	return entry.Carriers(view, servers)
+	return entry.AdvisedHosts(view, servers)
 }
 
 // boundTo are the regions that requests with the host name are bound to; empty: none.
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -97,12 +97,12 @@
 	}
 	for i := range config.Routes {
 		r := &config.Routes[i]
-		c.targets[className(r)] = r.Target
-		if r.AsksAll() {
+		c.targets[className(r)] = r.TargetLatency
+		if r.IsFanout() {
 			c.shards[r] = newSnapshot(config.Version, r.Shards)
 			c.noteSplit(r)
 		}
-		for _, share := range r.Shares {
+		for _, share := range r.WeightedServices {
 			c.single[share.Service] = newSnapshot(config.Version, []string{share.Service})
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	for _, service := range config.Services {
 		docs.Services = append(docs.Services, bundle.Service{
-			Name: service.Name, SlotsPerServer: defaultSlots, ConnectionsPerServer: service.Connections,
+			Name: service.Name, SlotsPerServer: defaultSlots, ConnectionsPerServer: service.MaxConnections,
 		})
 	}
 	docs.Policy.HedgeQuantile = hedgeQuantile
@@ -152,7 +152,7 @@
 // requests are alike, and hundreds of routes share a few classes. The timeout is
 // left out: an operator changes it, and what was measured of the class is kept.
 func className(r *route.Route) string {
-	return fmt.Sprintf("p%d-%v", r.Priority, r.Target)
+	return fmt.Sprintf("p%d-%v", r.Priority, r.TargetLatency)
 }
 
 // slackByTime is the part of a host's slack that is earned anew in each window; the
@@ -174,13 +174,13 @@
 		config.RetryBudget = retryPart * b.Ratio
 		config.HedgeBurst = max(1, hedgePart*slack)
 		config.RetryBurst = max(1, retryPart*slack)
-		config.HedgeStart, config.RetryStart = hedgeStart, retryStart
-		config.HedgeRate = hedgePart * rate
-		config.RetryRate = retryPart * rate
+		config.HedgeInitialFill, config.RetryInitialFill = hedgeStart, retryStart
+		config.HedgesPerSecond = hedgePart * rate
+		config.RetriesPerSecond = retryPart * rate
 		config.ChargeRefusals = true
-		config.WarmAfter = warmAfter
-		config.ShareSlots = true
+		config.SlowStartReplies = warmAfter
+		config.ReserveReportedLoad = true
 		config.AvoidStalled = true
-		config.ZoneCost = zoneCost
+		config.CrossZonePenaltySeconds = zoneCost
 	}
 }
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -45,7 +45,7 @@
 func (g *Gateway) setEvacuations(zones []string, revision metastore.Revision) {
 	g.serversMu.Lock()
 	defer g.serversMu.Unlock()
-	next, changes := g.evacuations.known.With(g.options.Now(), zones)
+	next, changes := g.evacuations.known.Update(g.options.Now(), zones)
 	first := g.evacuations.known == nil
 	g.evacuations.known = next
 	g.evacuations.zones.Set(float64(len(zones)))
@@ -63,7 +63,7 @@
 // shows as requests in a zone that is about to lose power. The guard holds because the
 // host refuses all requests as not run until it knows; others serve them meanwhile.
 func (g *Gateway) evacuationsListed() bool {
-	return g.evacuationList == nil || g.evacuationList.Listed()
+	return g.evacuationList == nil || g.evacuationList.HasSynced()
 }
 
 // nextRules are the rules as they hold now, without the servers that are cold.
--- a/gateway/far.go
+++ b/gateway/far.go
@@ -125,13 +125,13 @@
 	request := leg.Request{
 		Request: call.Request, Service: call.Service, Shard: call.Shard, Snapshot: call.Snapshot,
 		Deadline: call.Deadline, Idempotent: true, Body: call.Body, Forward: call.Forward,
-		Server: server.Name, ServerIncarnation: server.Incarnation, MostRecords: call.Forward.Merge.MostPerPart(),
+		DirectServer: server.Name, DirectIncarnation: server.Incarnation, MaxRecords: call.Forward.Merge.MostPerPart(),
 	}
 	ended := askPeer(ctx, r.links, address, request)
 	switch {
 	case ended.Attempt != nil:
 		end = *ended.Attempt
-		if ended.Cut {
+		if ended.Truncated {
 			end.Reply.Forwarded.Rest = r.rest(address, request)
 		}
 		return end, true
--- a/gateway/far_serve.go
+++ b/gateway/far_serve.go
@@ -49,7 +49,7 @@
 		done(*failure)
 		return func() {}
 	}
-	if request.Rest {
+	if request.FullAnswer {
 		done(s.whole(request))
 		return func() {}
 	}
@@ -73,13 +73,13 @@
 		failed := leg.Failed(request, result.NotReady, result.OutcomeUnsent, "not ready for legs of peers")
 		return backend.Server{}, &failed
 	}
-	server, ok := (*known)[request.Server]
+	server, ok := (*known)[request.DirectServer]
 	if !ok {
-		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "unknown or leaving server "+request.Server)
+		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "unknown or leaving server "+request.DirectServer)
 		return backend.Server{}, &failed
 	}
-	if request.ServerIncarnation != server.Incarnation {
-		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "another start of server "+request.Server)
+	if request.DirectIncarnation != server.Incarnation {
+		failed := leg.Failed(request, result.NoBackend, result.OutcomeUnsent, "another start of server "+request.DirectServer)
 		return backend.Server{}, &failed
 	}
 	return server, nil
@@ -99,9 +99,9 @@
 		return ended
 	}
 	ended.Body = attempt.Reply.Body
-	if most := request.MostRecords; most > 0 && len(ended.Body) > most*recordSize {
+	if most := request.MaxRecords; most > 0 && len(ended.Body) > most*recordSize {
 		s.kept.Add(keyOf(request), ended.Body)
-		ended.Body, ended.Cut = scatter.Greatest([][]byte{ended.Body}, recordSize, most), true
+		ended.Body, ended.Truncated = scatter.TopK([][]byte{ended.Body}, recordSize, most), true
 	}
 	return ended
 }
@@ -119,5 +119,5 @@
 }
 
 func keyOf(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, server: request.Server}
+	return partKey{attempt: request.Forward.Attempt, server: request.DirectServer}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,8 +53,8 @@
 	Zone   string // availability zone
 	// CallerAddress is where callers reach this host, IP and port.
 	CallerAddress string
-	// Peers is the listener of the other hosts' calls.
-	Peers net.Listener
+	// PeerListener is the listener of the other hosts' calls.
+	PeerListener net.Listener
 	// Regions is the region of each availability zone.
 	Regions map[string]string
 	// ConfigKey, ServersPrefix and HostsPrefix are where the operator's
@@ -64,15 +64,15 @@
 	// empty: no zone is ever evacuated.
 	EvacuationsPrefix string
 	// Warmup are the operator's bounds on what cold servers get.
-	Warmup eligible.WarmupBounds
-	Tuning
+	Warmup eligible.WarmupTolerance
+	ReloadableOptions
 	// Capacity is what this host can carry, in thousandths of a core: its
 	// processor, or less where its link is the narrower.
 	Capacity uint32
 
-	// OnAttempts hears how many attempts at backend servers this host makes a second,
+	// OnAttemptRate hears how many attempts at backend servers this host makes a second,
 	// eased; nil: nobody does. It must not block.
-	OnAttempts func(perSecond float64)
+	OnAttemptRate func(perSecond float64)
 
 	Store    metastore.Store
 	Backends Backends
@@ -83,10 +83,10 @@
 }
 
 const (
-	// AdviceKeep is how long callers may keep advice. Some keep it three times
+	// AdviceTTL is how long callers may keep advice. Some keep it three times
 	// as long. The shorter it is, the sooner callers leave a lost host; asking
 	// costs a host some 50 us.
-	AdviceKeep = time.Second
+	AdviceTTL = time.Second
 	// keepFactor is how much longer some callers keep advice.
 	keepFactor = 3
 	// cutOffAfter is how long a host that hears neither the store nor a peer
@@ -117,7 +117,7 @@
 	live context.Context
 	end  context.CancelFunc
 
-	tuning  atomic.Pointer[Tuning]
+	tuning  atomic.Pointer[ReloadableOptions]
 	sharing atomic.Int64 // hosts that the slack of the budget is divided by
 	// homeSharing is the same for the services of large searches.
 	homeSharing atomic.Int64
@@ -172,7 +172,7 @@
 		return nil, errors.Wrap(err, "starts of backend servers")
 	}
 	g.newestStarts = newest
-	g.tuning.Store(&options.Tuning)
+	g.tuning.Store(&options.ReloadableOptions)
 	g.sharing.Store(leastSharing)
 	g.homeSharing.Store(leastSharing)
 	g.live, g.end = context.WithCancel(context.Background())
@@ -193,7 +193,7 @@
 // Ready reports whether callers should be sent here: the configuration and the
 // servers are known, and no stop was asked for.
 func (g *Gateway) Ready() bool {
-	return g.inForce.Load() != nil && g.servers.Listed() && g.evacuationsListed() && !g.Stopping() && !g.cutOff()
+	return g.inForce.Load() != nil && g.servers.HasSynced() && g.evacuationsListed() && !g.Stopping() && !g.cutOff()
 }
 
 // Stopping reports whether a planned stop has begun.
@@ -210,8 +210,8 @@
 // cutOff reports whether this host has heard neither the store nor a peer for
 // so long that its configuration may be out of date.
 func (g *Gateway) cutOff() bool {
-	heard := g.configs.HeardAt()
-	if at := g.servers.HeardAt(); at.After(heard) {
+	heard := g.configs.LastContact()
+	if at := g.servers.LastContact(); at.After(heard) {
 		heard = at
 	}
 	return g.members.CutOff(g.options.Now(), heard, cutOffAfter)
@@ -227,7 +227,7 @@
 	}
 	run("control", g.control)
 	run("members", g.members.Run)
-	run("peers", func(ctx context.Context) error { return g.peers.Serve(ctx, g.options.Peers) })
+	run("peers", func(ctx context.Context) error { return g.peers.Serve(ctx, g.options.PeerListener) })
 	run("configuration", g.configs.Run)
 	run("servers", g.servers.Run)
 	if g.evacuationList != nil {
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -30,12 +30,12 @@
 
 // mayGet decides on an attempt that a home of this host has chosen the server for.
 func (g *Gateway) mayGet(server backend.Server, call backend.Call) eligible.Reason {
-	return g.rules.Load().Zone(server.Zone, call.Forward.Regions)
+	return g.rules.Load().CheckZone(server.Zone, call.Forward.Regions)
 }
 
 // mayPassOn decides on an attempt that another host has chosen the server for.
 func (g *Gateway) mayPassOn(server backend.Server, call backend.Call) eligible.Reason {
-	return g.rules.Load().ForOthers(g.options.Now(), server.Name, server.Zone, call.Forward.Regions)
+	return g.rules.Load().CheckForwarded(g.options.Now(), server.Name, server.Zone, call.Forward.Regions)
 }
 
 func (g *Gateway) guard(runner backend.Runner, check func(backend.Server, backend.Call) eligible.Reason) backend.Runner {
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -25,7 +25,7 @@
 
 // Run implements leg.Runner.
 func (p peerLegs) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	if request.Server != "" {
+	if request.DirectServer != "" {
 		return p.far.Run(request, done)
 	}
 	return p.homes.Run(request, done)
@@ -59,7 +59,7 @@
 		done(leg.Failed(request, result.NotReady, result.OutcomeUnsent, "a leg without its request"))
 		return func() {}
 	}
-	if request.Rest {
+	if request.FullAnswer {
 		return s.whole(request, done)
 	}
 	s.open.Add(1)
@@ -89,14 +89,14 @@
 	if request.Forward.Merge != nil {
 		most = request.Forward.Merge.MostPerPart()
 	}
-	if !ended.Usable() || ended.Reply == nil || most == 0 {
+	if !ended.HasAnswer() || ended.Reply == nil || most == 0 {
 		return ended
 	}
 	if len(ended.Body) <= most*recordSize && ended.Reply.Rest == nil {
 		return ended
 	}
 	s.kept.Add(homeKey(request), ended.Reply)
-	ended.Body, ended.Cut = scatter.Greatest([][]byte{ended.Body}, recordSize, most), true
+	ended.Body, ended.Truncated = scatter.TopK([][]byte{ended.Body}, recordSize, most), true
 	ended.Digest = leg.Digest(ended.Body)
 	return ended
 }
@@ -133,7 +133,7 @@
 
 // restAt fetches all records of a part that a peer has cut.
 func restAt(links *exchange.Client, address string, request leg.Request) func(context.Context) ([]byte, error) {
-	request.Rest, request.MostRecords = true, 0
+	request.FullAnswer, request.MaxRecords = true, 0
 	return func(ctx context.Context) ([]byte, error) {
 		ended := askPeer(ctx, links, address, request)
 		if ended.Outcome != result.OutcomeRan {
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -59,7 +59,7 @@
 	if p.homes == nil {
 		return h.self, ""
 	}
-	first, _ = p.homes.Of(service)
+	first, _ = p.homes.Lookup(service)
 	if first == "" || first == h.self || h.links.Doubts(p.address[first]) {
 		return h.self, ""
 	}
@@ -89,11 +89,11 @@
 
 // Run implements leg.Runner.
 func (t takenOver) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	if request.After != "" {
-		t.homes.log.Info("leg taken over from a lost home", zap.String("request", request.Forward.Attempt), zap.String("service", request.Service), zap.String("home", string(request.After)))
+	if request.FailedHome != "" {
+		t.homes.log.Info("leg taken over from a lost home", zap.String("request", request.Forward.Attempt), zap.String("service", request.Service), zap.String("home", string(request.FailedHome)))
 		request.MaxServers = 1
-		if host, known := t.homes.view().Find(request.After); known {
-			request.Only = t.homes.local.Near(request.Service, host.Zone)
+		if host, known := t.homes.view().Find(request.FailedHome); known {
+			request.PinnedServer = t.homes.local.ServerInZone(request.Service, host.Zone)
 		}
 	}
 	return t.homes.local.Run(request, done)
@@ -165,7 +165,7 @@
 
 func (h *homes) place(view *member.View, services []place.Service, largest int, before *placement) *placement {
 	next := &placement{of: view, services: services}
-	chosen := entry.Homes(view, h.zones(), largest, h.zone)
+	chosen := entry.SearchHomes(view, h.zones(), largest, h.zone)
 	if len(chosen) == 0 {
 		return next
 	}
@@ -198,14 +198,14 @@
 // Run implements leg.Runner. A leg that may have run at another home stays here: see
 // takenOver.
 func (r remoteHome) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	if request.After != "" {
+	if request.FailedHome != "" {
 		return r.own.Run(request, done)
 	}
 	return r.links.To(r.address).Run(request, func(ended leg.Result) {
 		if ended.Forecast != nil {
 			r.told.note(request.Service, request.Class, *ended.Forecast)
 		}
-		if ended.Cut && ended.Reply != nil {
+		if ended.Truncated && ended.Reply != nil {
 			ended.Reply.Rest = restAt(r.links, r.address, request)
 		}
 		done(ended)
--- a/gateway/load.go
+++ b/gateway/load.go
@@ -43,7 +43,7 @@
 		}
 		used, now := processorTime(), g.options.Now()
 		passed := now.Sub(at)
-		share := max(0, (used-usedBefore).Seconds()/passed.Seconds()/g.tuning.Load().Processor)
+		share := max(0, (used-usedBefore).Seconds()/passed.Seconds()/g.tuning.Load().CPUCores)
 		usedBefore, at = used, now
 		g.shareBudget()
 		g.lookAtWarming()
@@ -53,8 +53,8 @@
 		made := g.attempts.Load()
 		rate = easedLoad(rate, float64(made-madeBefore)/passed.Seconds())
 		madeBefore = made
-		if g.options.OnAttempts != nil {
-			g.options.OnAttempts(rate)
+		if g.options.OnAttemptRate != nil {
+			g.options.OnAttemptRate(rate)
 		}
 	}
 }
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -12,7 +12,7 @@
 const mostMissing = 4
 
 // missingList writes the shards that an answer lacks, and why.
-type missingList []scatter.Missing
+type missingList []scatter.MissingShard
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
 func (l missingList) MarshalLogArray(enc zapcore.ArrayEncoder) error {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-type missingShard scatter.Missing
+type missingShard scatter.MissingShard
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (m missingShard) MarshalLogObject(enc zapcore.ObjectEncoder) error {
--- a/gateway/merge.go
+++ b/gateway/merge.go
@@ -24,15 +24,15 @@
 // fetched, or the answer does without the part and says so.
 func merge(ctx context.Context, r *route.Route, answer *scatter.Answer) *Merged {
 	parts := answer.Parts
-	least := max(scatter.LeastParts(r.LeastShare, answer.Total), 1)
+	least := max(scatter.RequiredShards(r.MinShardShare, answer.Total), 1)
 	for {
 		if len(parts) < least {
 			return tooFew(answer)
 		}
-		records := scatter.Greatest(bodiesOf(parts), recordSize, r.Greatest)
+		records := scatter.TopK(bodiesOf(parts), recordSize, r.TopK)
 		open := 0
 		for i := range parts {
-			if mayHoldMore(&parts[i], records, r.Greatest) {
+			if mayHoldMore(&parts[i], records, r.TopK) {
 				parts[i], parts[open] = parts[open], parts[i]
 				open++
 			}
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -31,7 +31,7 @@
 	if len(view.Hosts) <= watchAllUpTo || view.Minority || !g.members.Joined() {
 		return true
 	}
-	if g.options.Now().Sub(g.members.PeerHeardAt()) > peerSilence {
+	if g.options.Now().Sub(g.members.LastPeerContact()) > peerSilence {
 		return true
 	}
 	return view.IsWatcher(g.options.Zone, watchersPerZone(view))
@@ -89,13 +89,13 @@
 }
 
 // heardNews hears what a peer knows; it runs on the members' control loop.
-func (g *Gateway) heardNews(news member.ConfigNews) {
+func (g *Gateway) heardNews(news member.ConfigUpdate) {
 	peers := g.peersToAsk(news)
-	g.servers.Hear(discover.Hint{Peers: peers, Revision: news.Store.Servers})
+	g.servers.Notify(discover.Hint{Peers: peers, Revision: news.Store.Servers})
 	if g.evacuationList != nil {
-		g.evacuationList.Hear(discover.Hint{Peers: peers, Revision: news.Store.Evacuations})
+		g.evacuationList.Notify(discover.Hint{Peers: peers, Revision: news.Store.Evacuations})
 	}
-	g.configs.Hear(discover.Hint{Peers: peers, Revision: metastore.Revision(news.Generation), Newer: g.inForce.Load().hasLost(news)})
+	g.configs.Notify(discover.Hint{Peers: peers, Revision: metastore.Revision(news.Generation), HasNewerWrites: g.inForce.Load().hasLost(news)})
 	// What is known already, without a change, is told on.
 	known := noteKnown(g.servers, &g.serversAt, news.Store.Servers)
 	known = noteKnown(g.evacuationList, &g.evacuationsAt, news.Store.Evacuations) || known
@@ -107,7 +107,7 @@
 // hasLost reports whether the store that this host has listed has lost the peer's
 // configuration: its version is the higher one, and its revision is not. A newer
 // configuration that is on its way has a higher revision.
-func (c *configuration) hasLost(news member.ConfigNews) bool {
+func (c *configuration) hasLost(news member.ConfigUpdate) bool {
 	return c != nil && c.version() < news.Store.ConfigVersion && metastore.Revision(news.Generation) <= c.revision
 }
 
@@ -124,7 +124,7 @@
 // peersToAsk are the watchers of the own zone, in any order, and last the host
 // that told the news: bytes between zones are dear, and a configuration of a
 // thousand routes goes to every host.
-func (g *Gateway) peersToAsk(news member.ConfigNews) []string {
+func (g *Gateway) peersToAsk(news member.ConfigUpdate) []string {
 	view := g.members.View()
 	watchers := view.Watchers(g.options.Zone, watchersPerZone(view))
 	rand.Shuffle(len(watchers), func(i, j int) { watchers[i], watchers[j] = watchers[j], watchers[i] })
--- a/gateway/parts.go
+++ b/gateway/parts.go
@@ -103,7 +103,7 @@
 			Self: member.Host{
 				ID:            ident.HostID(g.options.Name),
 				Incarnation:   ident.NewIncarnation(g.options.Now()),
-				PeerAddress:   g.options.Peers.Addr().String(),
+				PeerAddress:   g.options.PeerListener.Addr().String(),
 				CallerAddress: g.options.CallerAddress,
 				Region:        g.options.Region,
 				Zone:          g.options.Zone,
@@ -111,11 +111,11 @@
 			},
 			Seeds: g.options.Seeds,
 		},
-		Pool:         pool,
-		Now:          g.options.Now,
-		Logger:       g.log,
-		Registerer:   registry,
-		OnConfigNews: g.heardNews,
+		Pool:           pool,
+		Now:            g.options.Now,
+		Logger:         g.log,
+		Registerer:     registry,
+		OnConfigUpdate: g.heardNews,
 	})
 }
 
@@ -132,7 +132,7 @@
 func (g *Gateway) newHomes(runner *farRunner, counters *observe.Metrics) *homeserver.Server {
 	homes := homeserver.New(loggedRunner{g.guard(runner, g.mayGet), g.log, g.options.Now, &g.attempts}, counters, noWatcher{}, g.options.Now, g.homesConfig)
 	homes.SetObserver(g.logServer)
-	homes.SetTune(g.tuneHome)
+	homes.SetConfigOverride(g.tuneHome)
 	return homes
 }
 
@@ -141,7 +141,7 @@
 	c := g.inForce.Load()
 	for i := range classes {
 		if c != nil {
-			classes[i].HedgeUnknown = time.Duration(hedgeUnknownPart * float64(c.targets[classes[i].Name]))
+			classes[i].DefaultHedgeDelay = time.Duration(hedgeUnknownPart * float64(c.targets[classes[i].Name]))
 		}
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 // of chooses the coordinator for a request.
-func (c coordinators) of(work *scatter.Work) *scatter.Coordinator {
+func (c coordinators) of(work *scatter.QuerySpec) *scatter.Coordinator {
 	if work.Forward.Merge == nil || len(work.Body) > mostFarBody || !c.homes.allIn(work.Forward.Regions) {
 		return c.plain
 	}
@@ -206,8 +206,8 @@
 
 func (g *Gateway) newFollower(metrics *discover.Metrics, prefix string, settle func() time.Duration, apply func([]metastore.Object, metastore.Revision)) *discover.Follower {
 	return discover.NewFollower(discover.Config{
-		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, Apply: apply,
-		Relay: g.relay, Watches: g.watches, Watchers: g.watchers, Joined: g.members.Joined, Settle: settle, StaleStart: prefix != g.options.ConfigKey,
+		Store: g.options.Store, Prefix: prefix, Now: g.options.Now, Logger: g.log, OnChange: apply,
+		Relay: g.relay, IsWatcher: g.watches, WatcherCount: g.watchers, Joined: g.members.Joined, BatchInterval: settle, AllowStaleFirstList: prefix != g.options.ConfigKey,
 		Order: g.options.Decode.Order, Metrics: metrics,
 	})
 }
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "list hosts")
 	}
-	own := hostEntry{PeerAddress: g.options.Peers.Addr().String()}
+	own := hostEntry{PeerAddress: g.options.PeerListener.Addr().String()}
 	key := g.options.HostsPrefix + g.options.Name
 	var seeds []string
 	var version uint64
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -30,8 +30,8 @@
 // Query is one request of a caller.
 type Query struct {
 	Arrived time.Time
-	// Budget is how long the caller waits; 0: as long as the route allows.
-	Budget time.Duration
+	// Timeout is how long the caller waits; 0: as long as the route allows.
+	Timeout time.Duration
 	// Connection is the one that the request came on; nil: nothing is known of it.
 	Connection *Connection
 	// Path is the path without the query.
@@ -83,15 +83,15 @@
 	return g.run(ctx, c, r, service, q)
 }
 
-// TakeBody asks for room for a request's body before it is read, and gives it
+// ReserveBody asks for room for a request's body before it is read, and gives it
 // back through release. A refusal says that the request has not run.
 //
 // Load: many callers send bodies near the limit at once. Harm prevented: they
 // are held in memory until their answers, a host of 184 MB is killed, and every
 // request on it is lost. A body is refused before it is read, whatever its caller
 // had still to send.
-func (g *Gateway) TakeBody(bytes int64) (release func(), refusal *Answer) {
-	if g.bodies.Add(bytes) > g.tuning.Load().BodyBytes {
+func (g *Gateway) ReserveBody(bytes int64) (release func(), refusal *Answer) {
+	if g.bodies.Add(bytes) > g.tuning.Load().MaxBodyBytes {
 		g.bodies.Add(-bytes)
 		return nil, refused(result.Overloaded, "too many bytes of requests in flight", notReadyAfter)
 	}
@@ -105,7 +105,7 @@
 // answered by an old configuration. Nothing has run, and another host may serve.
 func (g *Gateway) refuse(c *configuration, inFlight int64) *Answer {
 	switch {
-	case c == nil || !g.servers.Listed():
+	case c == nil || !g.servers.HasSynced():
 		return refused(result.NotReady, "no configuration yet", notReadyAfter)
 	case !g.evacuationsListed():
 		return refused(result.NotReady, "evacuated zones are not known yet", notReadyAfter)
@@ -134,28 +134,28 @@
 	return out
 }
 
-func (g *Gateway) work(c *configuration, r *route.Route, service string, q Query) scatter.Work {
+func (g *Gateway) work(c *configuration, r *route.Route, service string, q Query) scatter.QuerySpec {
 	class := className(r)
 	plan := scatter.Plan{
-		Request:       ident.NewRequestID(),
-		Snapshot:      c.single[service],
-		Started:       q.Arrived,
-		Deadline:      q.Arrived.Add(allowed(r, q)),
-		LeastCoverage: 1,
-		Prefer:        bundle.PreferCoverage,
-		Idempotent:    r.Idempotent,
-	}
-	if r.Target > 0 {
-		g.setTarget(&plan, r.Target, class, q)
-	}
-	if r.AsksAll() {
+		Request:     ident.NewRequestID(),
+		Snapshot:    c.single[service],
+		Started:     q.Arrived,
+		Deadline:    q.Arrived.Add(allowed(r, q)),
+		MinCoverage: 1,
+		Prefer:      bundle.PreferCoverage,
+		Idempotent:  r.Idempotent,
+	}
+	if r.TargetLatency > 0 {
+		g.setTarget(&plan, r.TargetLatency, class, q)
+	}
+	if r.IsFanout() {
 		plan.Snapshot = c.shards[r]
-		plan.LeastCoverage = r.LeastShare
+		plan.MinCoverage = r.MinShardShare
 		plan.Prefer = bundle.PreferLatency
-		q.Forward.Merge = &forward.Merge{Greatest: r.Greatest, Services: len(r.Shards)}
+		q.Forward.Merge = &forward.Merge{Greatest: r.TopK, Services: len(r.Shards)}
 	}
 	q.Forward.Regions = r.Regions
-	return scatter.Work{
+	return scatter.QuerySpec{
 		Plan:       plan,
 		Index:      r.Name,
 		Class:      class,
@@ -170,13 +170,13 @@
 // takes a round trip, and so will the answer's way. Of one that came back before
 // only its way is known.
 func (g *Gateway) setTarget(plan *scatter.Plan, target time.Duration, class string, q Query) {
-	plan.Target = q.Arrived.Add(target)
-	used := g.callers.used(q.Arrived, class, q.Budget)
+	plan.SoftDeadline = q.Arrived.Add(target)
+	used := g.callers.used(q.Arrived, class, q.Timeout)
 	if used <= min(mostOpening, target/2) {
 		q.Connection.learn(used)
-		plan.Target = plan.Target.Add(-used)
+		plan.SoftDeadline = plan.SoftDeadline.Add(-used)
 	}
-	plan.Way = q.Connection.way()
+	plan.CallerRTT = q.Connection.way()
 }
 
 // longestWait is for a request that states no time on a route without one.
@@ -189,22 +189,22 @@
 	if r.Timeout > 0 {
 		wait = r.Timeout
 	}
-	if q.Budget > 0 {
-		wait = min(wait, q.Budget)
+	if q.Timeout > 0 {
+		wait = min(wait, q.Timeout)
 	}
 	return wait
 }
 
 func encode(ctx context.Context, r *route.Route, answer *scatter.Answer) *Answer {
 	var parts *Merged
-	if r.AsksAll() && answered(answer.Code) {
+	if r.IsFanout() && answered(answer.Code) {
 		parts = merge(ctx, r, answer)
 	}
 	out := &Answer{Code: answer.Code, Detail: answer.Detail, RetryAfter: answer.RetryAfter, Merged: parts}
 	switch {
-	case !r.AsksAll() && len(answer.Parts) == 1:
+	case !r.IsFanout() && len(answer.Parts) == 1:
 		out.Reply = answer.Parts[0].Reply
-	case !r.AsksAll() && len(answer.Missing) == 1 && !answer.Code.NotRun():
+	case !r.IsFanout() && len(answer.Missing) == 1 && !answer.Code.NotRun():
 		out.Reply = answer.Missing[0].Reply
 	}
 	return out
@@ -240,7 +240,7 @@
 		zap.String("request", q.Forward.Attempt), zap.String("route", r.Name), zap.Uint64("config", versionOf(c)),
 		zap.Stringer("code", a.Code), zap.Int("parts", len(a.Parts)), zap.Int("total", a.Total),
 		zap.Int("attempts", a.Attempts), zap.Int("hedges", a.Hedges),
-		zap.Duration("budget", q.Budget), zap.Duration("took", took),
+		zap.Duration("budget", q.Timeout), zap.Duration("took", took),
 	}
 	if a.Detail != "" {
 		fields = append(fields, zap.String("detail", a.Detail), zap.Duration("retry_after", a.RetryAfter))
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -65,7 +65,7 @@
 // publishServers tells homes and ways between hosts which backend servers may get
 // requests. serversMu is held.
 func (g *Gateway) publishServers() {
-	known := make(map[string][]homeserver.Known)
+	known := make(map[string][]homeserver.KnownServer)
 	inService := make(map[string]backend.Server, len(g.serverKeys))
 	rules := g.nextRules()
 	for _, key := range g.serverKeys {
@@ -78,7 +78,7 @@
 		if !k.Leaving {
 			inService[state.entry.Name] = k.Server
 		}
-		if k.Warmup.For > 0 && !k.ColdUntil.IsZero() {
+		if k.Warmup.Duration > 0 && !k.ColdUntil.IsZero() {
 			rules.Cold[state.entry.Name] = k.ColdUntil
 		}
 	}
@@ -91,18 +91,18 @@
 
 // known is a backend server as the homes are told of it. One in an evacuated zone gets
 // no new work, like one that leaves, and what runs there ends in peace.
-func (g *Gateway) known(state serverState, rules *eligible.Rules) homeserver.Known {
+func (g *Gateway) known(state serverState, rules *eligible.Rules) homeserver.KnownServer {
 	entry := state.entry
-	k := homeserver.Known{
+	k := homeserver.KnownServer{
 		Server:    serverOf(entry),
 		SameZone:  entry.Zone == g.options.Zone,
-		Leaving:   entry.Leaving || rules.Zone(entry.Zone, nil) != eligible.Allowed,
+		Leaving:   entry.Leaving || rules.CheckZone(entry.Zone, nil) != eligible.Allowed,
 		Slots:     entry.Slots,
 		Region:    rules.Regions[entry.Zone],
 		ColdUntil: state.coldUntil,
 		Warmup:    g.warming.limits(entry.Service, entry.Zone),
 	}
-	if back := rules.Evacuations.ColdUntil(entry.Zone, k.Warmup.For); back.After(k.ColdUntil) {
+	if back := rules.Evacuations.ColdUntil(entry.Zone, k.Warmup.Duration); back.After(k.ColdUntil) {
 		k.ColdUntil = back
 	}
 	return k
--- a/gateway/split.go
+++ b/gateway/split.go
@@ -23,7 +23,7 @@
 
 // noteSplit notes the services of the route if its searches are split.
 func (c *configuration) noteSplit(r *route.Route) {
-	if !entry.Splits(len(r.Shards)) {
+	if !entry.ShouldSplit(len(r.Shards)) {
 		return
 	}
 	c.largest = max(c.largest, len(r.Shards))
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -14,7 +14,7 @@
 // plannedStop leaves the advice, serves on while callers may keep old advice,
 // refuses new work, and returns when nothing is in flight or the limit passed.
 func (g *Gateway) plannedStop(live context.Context) {
-	stop := drain.Begin(g.options.Now(), keepFactor*AdviceKeep, g.tuning.Load().StopWithin)
+	stop := drain.Begin(g.options.Now(), keepFactor*AdviceTTL, g.tuning.Load().StopTimeout)
 	g.stop.Store(stop)
 	ctx, cancel := context.WithTimeout(live, leaveWait)
 	defer cancel()
--- a/gateway/told.go
+++ b/gateway/told.go
@@ -53,13 +53,13 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	if at, said := t.silent[service]; said && now.Sub(at) <= toldFor {
-		return leg.Forecast{Silent: true}
+		return leg.Forecast{Unresponsive: true}
 	}
 	said, known := t.told[toldKey{service, class}]
 	if !known || now.Sub(said.at) > toldFor {
 		return leg.Forecast{}
 	}
-	said.forecast.Wait = max(0, said.forecast.Wait-now.Sub(said.at))
+	said.forecast.QueueTime = max(0, said.forecast.QueueTime-now.Sub(said.at))
 	return said.forecast
 }
 
--- a/gateway/tuning.go
+++ b/gateway/tuning.go
@@ -9,30 +9,30 @@
 	"github.com/goldcrestspan/goldcrestspan/home"
 )
 
-// Tuning are the options that can change while the host runs.
-type Tuning struct {
+// ReloadableOptions are the options that can change while the host runs.
+type ReloadableOptions struct {
 	// Budget bounds extra arrivals at a service.
 	Budget Budget
-	// BodyBytes bounds the bodies of all requests in flight together.
-	BodyBytes int64
-	// StopWithin bounds a planned stop that begins later.
-	StopWithin time.Duration
-	// Processor is the share of a core that this host has.
-	Processor float64
+	// MaxBodyBytes bounds the bodies of all requests in flight together.
+	MaxBodyBytes int64
+	// StopTimeout bounds a planned stop that begins later.
+	StopTimeout time.Duration
+	// CPUCores is the share of a core that this host has.
+	CPUCores float64
 	// Seeds are addresses of peers to begin with, IP and port; some may be down.
 	Seeds []string
 }
 
-// Retune puts other limits in force, without a request noticing.
-func (g *Gateway) Retune(next Tuning) {
+// Reload puts other limits in force, without a request noticing.
+func (g *Gateway) Reload(next ReloadableOptions) {
 	before := g.tuning.Swap(&next)
 	g.members.AddSeeds(next.Seeds)
 	if next.Budget != before.Budget {
-		g.homes.Retune()
+		g.homes.ReapplyConfig()
 	}
 	g.log.Info("limits changed", zap.Float64("extra_ratio", next.Budget.Ratio), zap.Float64("extra_slack", next.Budget.Slack), zap.Duration("extra_window", next.Budget.Window),
-		zap.Int64("body_bytes", next.BodyBytes), zap.Duration("stop_within", next.StopWithin),
-		zap.Float64("processor", next.Processor), zap.Strings("seeds", next.Seeds))
+		zap.Int64("body_bytes", next.MaxBodyBytes), zap.Duration("stop_within", next.StopTimeout),
+		zap.Float64("processor", next.CPUCores), zap.Strings("seeds", next.Seeds))
 }
 
 // leastSharing is by how many hosts the slack of the budget is divided at least:
@@ -64,12 +64,12 @@
 func (g *Gateway) shareBudget() {
 	view, zones := g.members.View(), g.serversByZone()
 	_, largest := g.sharedServices()
-	hosts := int64(max(leastSharing, len(entry.Carriers(view, zones))))
+	hosts := int64(max(leastSharing, len(entry.AdvisedHosts(view, zones))))
 	homes := shareHomes(entry.HomesPerService(view, zones, largest))
 	before, homesBefore := g.sharing.Swap(hosts), g.homeSharing.Swap(homes)
 	if before == hosts && homesBefore == homes {
 		return
 	}
-	g.homes.Retune()
+	g.homes.ReapplyConfig()
 	g.log.Info("budget of extra arrivals shared", zap.Int64("hosts", hosts), zap.Int64("homes", homes))
 }
--- a/gateway/warming.go
+++ b/gateway/warming.go
@@ -21,27 +21,27 @@
 type warming struct {
 	self   ident.HostID
 	zone   string // availability zone of this host
-	bounds eligible.WarmupBounds
+	bounds eligible.WarmupTolerance
 	// services are those whose servers bear little while they are cold.
 	services map[string]eligible.Warmup
 
-	zoneTurn eligible.Turn // to warm what is not shared
-	homeTurn eligible.Turn // to warm servers of the services that are homed here
-	placed   *place.Homes  // of the homes that homeTurn is for
+	zoneTurn eligible.WarmupRole // to warm what is not shared
+	homeTurn eligible.WarmupRole // to warm servers of the services that are homed here
+	placed   *place.Homes        // of the homes that homeTurn is for
 	split    map[string]bool
 	// now in force
 	warmsZone, warmsHomed bool
 }
 
 // limits are the bounds of this host on servers of the service in the zone.
-func (w *warming) limits(service, zone string) home.Warmup {
+func (w *warming) limits(service, zone string) home.WarmupLimit {
 	warmup, bounded := w.services[service]
 	if !bounded {
-		return home.Warmup{}
+		return home.WarmupLimit{}
 	}
-	limits := home.Warmup{For: warmup.For}
+	limits := home.WarmupLimit{Duration: warmup.Duration}
 	if zone == w.zone && w.warms(service) {
-		limits.PerSecond = w.bounds.Share(warmup)
+		limits.PerSecond = w.bounds.PerHostRate(warmup)
 	}
 	return limits
 }
@@ -50,7 +50,7 @@
 	if w.placed == nil || !w.split[service] {
 		return w.warmsZone
 	}
-	first, _ := w.placed.Of(service)
+	first, _ := w.placed.Lookup(service)
 	return w.warmsHomed && first == w.self
 }
 
@@ -66,16 +66,16 @@
 }
 
 // look takes in who is there now, and reports whether this host's part has changed.
-func (w *warming) look(now time.Time, view *member.View, placed *place.Homes, contact eligible.Contact) bool {
+func (w *warming) look(now time.Time, view *member.View, placed *place.Homes, contact eligible.PeerContact) bool {
 	proxy, known := entry.Proxies(view)[w.zone]
-	w.zoneTurn.Set(now, known && proxy.ID == w.self)
+	w.zoneTurn.SetAssigned(now, known && proxy.ID == w.self)
 	moved := placed != w.placed
 	if moved {
 		w.placed = placed
-		w.homeTurn.Restart()
+		w.homeTurn.Reset()
 	}
-	w.homeTurn.Set(now, placed != nil)
-	zone, homed := w.zoneTurn.Warms(now, contact), w.homeTurn.Warms(now, contact)
+	w.homeTurn.SetAssigned(now, placed != nil)
+	zone, homed := w.zoneTurn.MayWarm(now, contact), w.homeTurn.MayWarm(now, contact)
 	changed := moved || zone != w.warmsZone || homed != w.warmsHomed
 	w.warmsZone, w.warmsHomed = zone, homed
 	return changed
@@ -89,7 +89,7 @@
 		return
 	}
 	view := g.members.View()
-	contact := eligible.Contact{Alone: len(view.Hosts) < 2, HeardAt: g.members.PeerHeardAt()}
+	contact := eligible.PeerContact{Alone: len(view.Hosts) < 2, LastContact: g.members.LastPeerContact()}
 	if !g.warming.look(g.options.Now(), view, g.sharedHomes.within(g.options.Zone), contact) {
 		return
 	}
--- a/home/attempt_end.go
+++ b/home/attempt_end.go
@@ -11,7 +11,7 @@
 const healthyRatio = 2
 
 // recordEnd updates the state of the server with an attempt's end.
-func (h *Home) recordEnd(now time.Time, a *attempt, end End) {
+func (h *Home) recordEnd(now time.Time, a *attempt, end AttemptResult) {
 	s := a.server
 	if end.HasLoad {
 		s.recordLoad(now, end.Load)
@@ -95,7 +95,7 @@
 // fails fast looks idle. At most half of the servers are ejected, so that a fault seen
 // at all of them, such as a network problem of this host, doesn't leave the service
 // without servers; the others are only paused.
-func (h *Home) recordFault(now time.Time, a *attempt, end End) {
+func (h *Home) recordFault(now time.Time, a *attempt, end AttemptResult) {
 	s := a.server
 	s.faultRate.record(now, true)
 	s.assumeRestarted(now, end)
--- a/home/changes.go
+++ b/home/changes.go
@@ -82,8 +82,8 @@
 	return time.Time{}
 }
 
-// TakeChanges returns the state changes of servers since the last call.
-func (h *Home) TakeChanges() []ServerChange {
+// DrainChanges returns the state changes of servers since the last call.
+func (h *Home) DrainChanges() []ServerChange {
 	changes := h.pendingChanges
 	h.pendingChanges = nil
 	return changes
--- a/home/cold.go
+++ b/home/cold.go
@@ -9,7 +9,7 @@
 // cold reports whether requests to the server are limited because it has just started,
 // by its own report or because it was unreachable recently.
 func (s *server) cold(now time.Time) bool {
-	return s.spec.Warmup.For > 0 && now.Before(s.coldUntil())
+	return s.spec.Warmup.Duration > 0 && now.Before(s.coldUntil())
 }
 
 func (s *server) coldUntil() time.Time {
@@ -42,16 +42,16 @@
 
 // recordStart counts an attempt against the limit on a cold server.
 func (s *server) recordStart(now time.Time) {
-	if s.spec.Warmup.For > 0 {
+	if s.spec.Warmup.Duration > 0 {
 		s.coldStarts.Note(now, s.spec.Warmup.PerSecond)
 	}
 }
 
 // assumeRestarted treats an unreachable server as cold. A crashed server may answer
 // before its new incarnation is known here, and the full load would crash it again.
-func (s *server) assumeRestarted(now time.Time, end End) {
+func (s *server) assumeRestarted(now time.Time, end AttemptResult) {
 	if end.Fault == backend.FaultUnreachable {
-		s.assumedColdUntil = now.Add(s.spec.Warmup.For)
+		s.assumedColdUntil = now.Add(s.spec.Warmup.Duration)
 	}
 }
 
--- a/home/forecast.go
+++ b/home/forecast.go
@@ -11,7 +11,7 @@
 // are sent.
 func (h *Home) Forecast(now time.Time, classIndex int) legs.Forecast {
 	c := &h.classes[classIndex]
-	return legs.Forecast{Wait: h.queueTime(c, now), Run: h.expectedRunTime(c, now), Silent: h.unresponsive(now)}
+	return legs.Forecast{QueueTime: h.queueTime(c, now), ServiceTime: h.expectedRunTime(c, now), Unresponsive: h.unresponsive(now)}
 }
 
 const (
--- a/home/hedge.go
+++ b/home/hedge.go
@@ -25,9 +25,9 @@
 	}
 	slow := c.quantiles().slow
 	if slow == 0 {
-		slow = c.spec.HedgeUnknown
+		slow = c.spec.DefaultHedgeDelay
 	}
-	return time.Duration(float64(slow) * (1 + emptyBudgetIncrease*(1-h.hedgeBudget.Fill())))
+	return time.Duration(float64(slow) * (1 + emptyBudgetIncrease*(1-h.hedgeBudget.FillRatio())))
 }
 
 // queueHedges queues a hedge for each attempt past the hedge delay, in deadline order.
@@ -63,7 +63,7 @@
 // while no leg waits for its first attempt, so that a service near its capacity does no
 // duplicate work.
 func (h *Home) pickHedge(c *class, now time.Time) (*leg, *server) {
-	if c.hedges.len() == 0 || c.waiting.len() > 0 || !h.hedgeBudget.Allows() {
+	if c.hedges.len() == 0 || c.waiting.len() > 0 || !h.hedgeBudget.CanSpend() {
 		return nil, nil
 	}
 	for i := 0; i < c.hedges.len() && i < maxQueueScan; i++ {
--- a/home/home.go
+++ b/home/home.go
@@ -29,16 +29,16 @@
 	Idempotent  bool
 	Fingerprint uint64
 	Bytes       int // size of the body, counted against Config.MaxQueueBytes
-	// Due is the soft deadline, after which the answer has lost most of its value; zero
+	// SoftDeadline is the soft deadline, after which the answer has lost most of its value; zero
 	// means the deadline. Waiting legs are ordered by it, and a leg that can't meet it
 	// any more goes behind those that can.
-	Due time.Time
+	SoftDeadline time.Time
 	// Optional is set if the query can be answered without this leg.
 	Optional bool
 	// MaxServers limits the number of servers that may run the leg; 0 means no limit.
 	MaxServers int
-	// Only names the only server that may run the leg; empty means any.
-	Only string
+	// PinnedServer names the only server that may run the leg; empty means any.
+	PinnedServer string
 	// Regions are the regions whose servers may run the leg; empty means any.
 	Regions []string
 	// Forwarded is set for requests passed through as received. If idempotent, they are
@@ -74,8 +74,8 @@
 	RetryAfter time.Duration
 }
 
-// End is how an attempt ended.
-type End struct {
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
 	Outcome    result.Outcome
 	Fault      backend.Fault
 	Load       backend.Load // valid if HasLoad
@@ -96,13 +96,13 @@
 	// ColdUntil is the end of the cold period that the server reported at its start.
 	ColdUntil time.Time
 	// Warmup limits the requests to the server while it is cold.
-	Warmup Warmup
+	Warmup WarmupLimit
 }
 
-// Warmup limits what this home sends to a server while it is cold. The zero value is no
+// WarmupLimit limits what this home sends to a server while it is cold. The zero value is no
 // limit.
-type Warmup struct {
-	For       time.Duration // time for which a server counts as cold after its start; 0 means no limit
+type WarmupLimit struct {
+	Duration  time.Duration // time for which a server counts as cold after its start; 0 means no limit
 	PerSecond int           // attempts in any second; 0 means none, another host warms the server
 }
 
@@ -111,9 +111,9 @@
 	Name          string
 	ReservedShare float64
 	MaxQueue      int
-	// HedgeUnknown is the hedge delay used until the class's service times are known; 0
+	// DefaultHedgeDelay is the hedge delay used until the class's service times are known; 0
 	// disables hedging until then.
-	HedgeUnknown time.Duration
+	DefaultHedgeDelay time.Duration
 }
 
 // Config holds the limits of a home.
@@ -128,29 +128,29 @@
 	// HedgeBurst and RetryBurst are the burst sizes of the hedge and retry budgets; 0
 	// means defaultHedgeBurst and defaultRetryBurst.
 	HedgeBurst, RetryBurst float64
-	// HedgeStart and RetryStart are the fractions of the bursts available at the start,
+	// HedgeInitialFill and RetryStart are the fractions of the bursts available at the start,
 	// from 0 to 1.
-	HedgeStart, RetryStart float64
-	// HedgeRate and RetryRate are the hedges and retries per second that are allowed
+	HedgeInitialFill, RetryInitialFill float64
+	// HedgesPerSecond and RetryRate are the hedges and retries per second that are allowed
 	// whatever the load.
-	HedgeRate, RetryRate float64
+	HedgesPerSecond, RetriesPerSecond float64
 	// ChargeRefusals charges the retry budget also for an attempt after a refusal, for
 	// services that count every request they receive.
 	ChargeRefusals bool
-	// WarmAfter is the number of answers after which a new server gets its full
+	// SlowStartReplies is the number of answers after which a new server gets its full
 	// concurrency; 0 means defaultSlowStartAnswers.
-	WarmAfter int
-	// ShareSlots leaves the slots that the servers report as used by other hosts to
+	SlowStartReplies int
+	// ReserveReportedLoad leaves the slots that the servers report as used by other hosts to
 	// those, for services that several hosts send to at once. At least one slot per
 	// server stays usable, so that no host is starved.
-	ShareSlots bool
+	ReserveReportedLoad bool
 	// AvoidStalled sends nothing to a server that seems stalled while another is
 	// healthy, and hedges the attempts that run on it.
 	AvoidStalled bool
-	// Shared holds the service times observed by all homes of this host; nil means that
+	// LatencyStats holds the service times observed by all homes of this host; nil means that
 	// each home uses only its own.
-	Shared *Shared
-	// ZoneCost is added to the expected finish time on a server of another availability
+	LatencyStats *LatencyStats
+	// CrossZonePenaltySeconds is added to the expected finish time on a server of another availability
 	// zone, in seconds; 0 means defaultCrossZoneSeconds.
-	ZoneCost float64
+	CrossZonePenaltySeconds float64
 }
--- a/home/latencies.go
+++ b/home/latencies.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Shared holds the service times of each class observed by all homes of one host, so
+// LatencyStats holds the service times of each class observed by all homes of one host, so
 // that a home of a new service can hedge before it has enough samples of its own. It is
 // safe for concurrent use.
-type Shared struct {
+type LatencyStats struct {
 	mu      sync.Mutex
 	classes map[string]*classLatencies
 }
@@ -39,11 +39,11 @@
 	return q, true
 }
 
-// NewShared returns an empty Shared.
-func NewShared() *Shared { return &Shared{classes: make(map[string]*classLatencies)} }
+// NewLatencyStats returns an empty Shared.
+func NewLatencyStats() *LatencyStats { return &LatencyStats{classes: make(map[string]*classLatencies)} }
 
 // forClass returns the service times of the named class.
-func (s *Shared) forClass(name string) *classLatencies {
+func (s *LatencyStats) forClass(name string) *classLatencies {
 	if s == nil {
 		return nil
 	}
--- a/home/leg.go
+++ b/home/leg.go
@@ -82,7 +82,7 @@
 // excludes reports whether the leg must not go to the server: it isn't allowed to, has
 // an attempt there already, or failed there last while there are other servers.
 func (l *leg) excludes(s *server, usable int) bool {
-	if l.Only != "" && l.Only != s.spec.Name {
+	if l.PinnedServer != "" && l.PinnedServer != s.spec.Name {
 		return true
 	}
 	if !eligible.InRegions(l.Regions, s.spec.Region) {
--- a/home/place.go
+++ b/home/place.go
@@ -78,7 +78,7 @@
 		finish += expected / float64(limit) // pipelined, waits for a slot
 	}
 	if !s.spec.SameZone {
-		finish += h.cfg.ZoneCost
+		finish += h.cfg.CrossZonePenaltySeconds
 	}
 	return finish + faultPenaltySeconds*s.faultRate.value(now)
 }
--- a/home/reconfigure.go
+++ b/home/reconfigure.go
@@ -13,10 +13,10 @@
 	h.moveServiceTimes(newIndex, cfg)
 	for _, s := range h.servers {
 		s.slots = slotsOf(s.spec, &cfg)
-		s.slowStartAnswers, s.leavesReportedSlots = cfg.WarmAfter, cfg.ShareSlots
+		s.slowStartAnswers, s.leavesReportedSlots = cfg.SlowStartReplies, cfg.ReserveReportedLoad
 	}
-	h.hedgeBudget.Set(cfg.HedgeBudget, cfg.HedgeBurst)
-	h.retryBudget.Set(cfg.RetryBudget, cfg.RetryBurst)
+	h.hedgeBudget.SetLimits(cfg.HedgeBudget, cfg.HedgeBurst)
+	h.retryBudget.SetLimits(cfg.RetryBudget, cfg.RetryBurst)
 	h.cfg = cfg
 	h.applyBudgetRates()
 	return h.dispatch(now, acts)
@@ -40,7 +40,7 @@
 	old := h.classes
 	h.classes = make([]class, len(cfg.Classes))
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.forClass(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.LatencyStats.forClass(cfg.Classes[i].Name)}
 	}
 	for i := range old {
 		c := &h.classes[newIndex[i]]
