--- a/home/retry.go
+++ b/home/retry.go
@@ -24,7 +24,7 @@
 
 // handleEnd handles the end of an attempt of a leg that is still open: it answers, retries
 // or fails the leg.
-func (h *Home) handleEnd(now time.Time, a *attempt, end End, acts []Action) []Action {
+func (h *Home) handleEnd(now time.Time, a *attempt, end AttemptResult, acts []Action) []Action {
 	l := a.leg
 	if isAnswer(end) {
 		return h.completeLeg(now, a, acts)
@@ -57,13 +57,15 @@
 // which the leg is queued again at no cost. Such refusals are normal while a home moves
 // between hosts; charging them would spend the retry budget of a healthy service within
 // milliseconds. The pauses after refusals prevent a retry storm.
-func isCapacityRefusal(end End) bool {
+func isCapacityRefusal(end AttemptResult) bool {
 	return end.Fault == backend.FaultShed || end.Fault == backend.FaultConnectionLimit
 }
 
 // needsRetryBudget reports whether another attempt after this end is charged to the retry
 // budget.
-func (h *Home) needsRetryBudget(end End) bool { return h.cfg.ChargeRefusals || !isCapacityRefusal(end) }
+func (h *Home) needsRetryBudget(end AttemptResult) bool {
+	return h.cfg.ChargeRefusals || !isCapacityRefusal(end)
+}
 
 // spendRetry spends one retry, from the hedge budget if the retry budget is spent: a lost
 // answer is worth more than a hedge of a slow leg.
@@ -71,18 +73,18 @@
 	return h.retryBudget.Spend() || h.hedgeBudget.Spend()
 }
 
-func attemptLimit(end End) int {
+func attemptLimit(end AttemptResult) int {
 	if isCapacityRefusal(end) {
 		return maxRefusedAttempts
 	}
 	return maxAttempts
 }
 
-func isAnswer(end End) bool {
+func isAnswer(end AttemptResult) bool {
 	return end.Outcome == result.OutcomeRan && end.Fault == backend.FaultNone
 }
 
-func (h *Home) recordFailure(l *leg, end End) {
+func (h *Home) recordFailure(l *leg, end AttemptResult) {
 	switch end.Outcome {
 	case result.OutcomeUnknown:
 		l.unknownCount++
@@ -97,7 +99,7 @@
 // canRetry reports whether the leg may have another attempt. After an unknown outcome,
 // or a reply from another snapshot, only an idempotent leg may; an attempt that ran and
 // failed is retried only for a forwarded request.
-func (h *Home) canRetry(l *leg, end End, now time.Time) bool {
+func (h *Home) canRetry(l *leg, end AttemptResult, now time.Time) bool {
 	if end.NoRetry || h.cfg.RetryBudget <= 0 || !h.canMeetDeadline(l, now) || l.attemptCount >= attemptLimit(end) {
 		return false
 	}
@@ -117,7 +119,7 @@
 	}
 }
 
-func failureCode(l *leg, end End) result.Code {
+func failureCode(l *leg, end AttemptResult) result.Code {
 	if end.Fault == backend.FaultDeadline && l.Idempotent {
 		return result.DeadlineExceeded
 	}
--- a/home/server.go
+++ b/home/server.go
@@ -71,8 +71,8 @@
 		serviceTimes: make([]meanTime, len(cfg.Classes)),
 		warm:         warm,
 
-		slowStartAnswers:    cfg.WarmAfter,
-		leavesReportedSlots: cfg.ShareSlots,
+		slowStartAnswers:    cfg.SlowStartReplies,
+		leavesReportedSlots: cfg.ReserveReportedLoad,
 		refusalRate:         failureRate{weight: refusalWeight},
 		faultRate:           failureRate{weight: faultWeight},
 
@@ -258,7 +258,7 @@
 
 // isServerFault reports whether an attempt's end indicates a faulty server. Refusals,
 // missing snapshots and cancelled calls don't.
-func isServerFault(end End) bool {
+func isServerFault(end AttemptResult) bool {
 	switch end.Fault {
 	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultSilent, backend.FaultBroken,
 		backend.FaultHalfReply, backend.FaultCrossed, backend.FaultServer:
@@ -269,7 +269,7 @@
 }
 
 // isRefusal reports whether the server had no capacity for the attempt.
-func isRefusal(end End) bool {
+func isRefusal(end AttemptResult) bool {
 	return end.Fault == backend.FaultShed || end.Fault == backend.FaultConnectionLimit ||
 		(end.Outcome == result.OutcomeRefused && end.Fault == backend.FaultNone)
 }
--- a/home/stall.go
+++ b/home/stall.go
@@ -23,7 +23,7 @@
 	if slow := c.quantiles().slow; slow > 0 {
 		return slow
 	}
-	return c.spec.HedgeUnknown
+	return c.spec.DefaultHedgeDelay
 }
 
 // hedgeStalled queues hedges for all attempts at stalled servers, whatever their age.
--- a/home/state.go
+++ b/home/state.go
@@ -46,14 +46,14 @@
 	if c.RetryBurst == 0 {
 		c.RetryBurst = defaultRetryBurst
 	}
-	if c.RetryStart == 0 {
-		c.RetryStart = 1 // allows retries before any leg has earned one
+	if c.RetryInitialFill == 0 {
+		c.RetryInitialFill = 1 // allows retries before any leg has earned one
 	}
-	if c.WarmAfter == 0 {
-		c.WarmAfter = defaultSlowStartAnswers
+	if c.SlowStartReplies == 0 {
+		c.SlowStartReplies = defaultSlowStartAnswers
 	}
-	if c.ZoneCost == 0 {
-		c.ZoneCost = defaultCrossZoneSeconds
+	if c.CrossZonePenaltySeconds == 0 {
+		c.CrossZonePenaltySeconds = defaultCrossZoneSeconds
 	}
 	return c
 }
@@ -68,19 +68,19 @@
 		legs:        make(map[LegID]*leg),
 		attempts:    make(map[ident.AttemptID]*attempt),
 		lastAttempt: firstAttempt,
-		hedgeBudget: retry.NewPartBudget(cfg.HedgeBudget, cfg.HedgeBurst, cfg.HedgeStart),
-		retryBudget: retry.NewPartBudget(cfg.RetryBudget, cfg.RetryBurst, cfg.RetryStart),
+		hedgeBudget: retry.NewPartialBudget(cfg.HedgeBudget, cfg.HedgeBurst, cfg.HedgeInitialFill),
+		retryBudget: retry.NewPartialBudget(cfg.RetryBudget, cfg.RetryBurst, cfg.RetryInitialFill),
 	}
 	h.applyBudgetRates()
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.Shared.forClass(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.LatencyStats.forClass(cfg.Classes[i].Name)}
 	}
 	return h
 }
 
 func (h *Home) applyBudgetRates() {
-	h.hedgeBudget.SetRate(h.cfg.HedgeRate)
-	h.retryBudget.SetRate(h.cfg.RetryRate)
+	h.hedgeBudget.SetRefillRate(h.cfg.HedgesPerSecond)
+	h.retryBudget.SetRefillRate(h.cfg.RetriesPerSecond)
 }
 
 // SetServers replaces the backend servers of the service. The state of a server with a
@@ -120,16 +120,16 @@
 // Submit adds a leg, which starts, waits or fails at once.
 func (h *Home) Submit(now time.Time, in Leg, acts []Action) []Action {
 	l := &leg{Leg: in, outcome: result.OutcomeUnsent, orderBy: in.Deadline}
-	if in.Due.After(now) && !in.Optional {
-		l.orderBy = in.Due
+	if in.SoftDeadline.After(now) && !in.Optional {
+		l.orderBy = in.SoftDeadline
 	}
 	c := &h.classes[in.Class]
 	h.catchUp(c, now)
 	if code, ok := h.admit(c, l, now); !ok {
 		return append(acts, Action{Kind: ActionFail, Leg: in.ID, Code: code, Outcome: l.outcome, RetryAfter: h.retryAfter(now, 0)})
 	}
-	h.hedgeBudget.Pass(now)
-	h.retryBudget.Pass(now)
+	h.hedgeBudget.Refill(now)
+	h.retryBudget.Refill(now)
 	h.hedgeBudget.Earn()
 	h.retryBudget.Earn()
 	h.legs[in.ID] = l
@@ -140,7 +140,7 @@
 }
 
 // Finish reports the end of an attempt.
-func (h *Home) Finish(now time.Time, id ident.AttemptID, end End, acts []Action) []Action {
+func (h *Home) Finish(now time.Time, id ident.AttemptID, end AttemptResult, acts []Action) []Action {
 	a, ok := h.attempts[id]
 	if !ok {
 		return acts
--- a/homes.go
+++ b/homes.go
@@ -29,7 +29,7 @@
 
 // Of implements scatter.Homes.
 func (h *homes) Of(service string) (first, second ident.HostID) {
-	return h.cache.Homes(h.view(), *h.services.Load()).Of(service)
+	return h.cache.Homes(h.view(), *h.services.Load()).Lookup(service)
 }
 
 // Runner implements scatter.Homes.
--- a/homeserver/server.go
+++ b/homeserver/server.go
@@ -24,8 +24,8 @@
 	Cancelled(service string)
 }
 
-// Watcher hears what attempts tell of backend servers.
-type Watcher interface {
+// AttemptObserver hears what attempts tell of backend servers.
+type AttemptObserver interface {
 	// Started is called before an attempt is sent.
 	Started(id ident.AttemptID, server backend.Server, fingerprint uint64)
 	// Ended is called after each attempt. It reports whether the request is
@@ -39,24 +39,24 @@
 type Server struct {
 	runner  backend.Runner
 	counter Counter
-	watcher Watcher
+	watcher AttemptObserver
 	now     func() time.Time
 	inForce func() *bundle.Config
-	tune    Tune
+	tune    ConfigOverride
 	observe func(service string, change home.ServerChange)
 
 	mu       sync.RWMutex
 	services map[string]*service
-	known    map[string][]Known // by service, also of those not yet in use
+	known    map[string][]KnownServer // by service, also of those not yet in use
 	config   *bundle.Config
 	nextHome uint64
 	nextLeg  atomic.Uint64
-	shared   *home.Shared
+	shared   *home.LatencyStats
 	workers  *workers
 }
 
-// Known is a backend server as the control goroutine knows it.
-type Known struct {
+// KnownServer is a backend server as the control goroutine knows it.
+type KnownServer struct {
 	Server   backend.Server
 	SameZone bool
 	Leaving  bool
@@ -67,15 +67,15 @@
 	// ColdUntil is until when the server has said to be cold after its start.
 	ColdUntil time.Time
 	// Warmup bounds what the server gets while it is cold.
-	Warmup home.Warmup
+	Warmup home.WarmupLimit
 }
 
-// Tune changes the limits of a service's home before they are put in force.
-type Tune func(*home.Config)
+// ConfigOverride changes the limits of a service's home before they are put in force.
+type ConfigOverride func(*home.Config)
 
 // New makes a server without homes; they come into being with their first leg.
 // inForce returns the configuration in force; nil: none yet.
-func New(runner backend.Runner, counter Counter, watcher Watcher, now func() time.Time, inForce func() *bundle.Config) *Server {
+func New(runner backend.Runner, counter Counter, watcher AttemptObserver, now func() time.Time, inForce func() *bundle.Config) *Server {
 	return &Server{
 		runner:   runner,
 		counter:  counter,
@@ -83,15 +83,15 @@
 		now:      now,
 		inForce:  inForce,
 		services: make(map[string]*service),
-		known:    make(map[string][]Known),
-		shared:   home.NewShared(),
+		known:    make(map[string][]KnownServer),
+		shared:   home.NewLatencyStats(),
 		workers:  newWorkers(),
 	}
 }
 
-// SetTune makes the server change the limits of each home; call it before any
+// SetConfigOverride makes the server change the limits of each home; call it before any
 // leg runs.
-func (s *Server) SetTune(tune Tune) { s.tune = tune }
+func (s *Server) SetConfigOverride(tune ConfigOverride) { s.tune = tune }
 
 // SetObserver makes the server tell what the homes believe of backend servers; call
 // it before any leg runs. observe must not block.
@@ -114,8 +114,8 @@
 	s.refresh(config)
 }
 
-// Retune puts the limits that the Tune gives now into the homes.
-func (s *Server) Retune() {
+// ReapplyConfig puts the limits that the Tune gives now into the homes.
+func (s *Server) ReapplyConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.config != nil {
@@ -144,7 +144,7 @@
 }
 
 // SetServers tells which backend servers each service has.
-func (s *Server) SetServers(known map[string][]Known) {
+func (s *Server) SetServers(known map[string][]KnownServer) {
 	s.mu.Lock()
 	open := make([]*service, 0, len(s.services))
 	for name, svc := range s.services {
@@ -238,7 +238,7 @@
 		HedgeBudget:    config.Policy.HedgeBudget,
 		HedgeQuantile:  config.Policy.HedgeQuantile,
 		RetryBudget:    config.Policy.RetryBudget,
-		Shared:         s.shared,
+		LatencyStats:   s.shared,
 	}
 	if s.tune != nil {
 		s.tune(&limits)
@@ -262,9 +262,9 @@
 	return svc.forecast(position)
 }
 
-// Near returns the name of the service's server in the availability zone, the first by
+// ServerInZone returns the name of the service's server in the availability zone, the first by
 // name; empty: there is none in service.
-func (s *Server) Near(service, zone string) string {
+func (s *Server) ServerInZone(service, zone string) string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	near := ""
@@ -276,8 +276,8 @@
 	return near
 }
 
-// Open counts the legs that are under way at this host's homes.
-func (s *Server) Open() int {
+// OpenLegs counts the legs that are under way at this host's homes.
+func (s *Server) OpenLegs() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	open := 0
--- a/homeserver/service.go
+++ b/homeserver/service.go
@@ -67,22 +67,22 @@
 
 func (s *service) submit(id home.LegID, class int, request leg.Request, done func(leg.Result)) {
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
-		s.legs[id] = &openLeg{request: request, done: done, came: now, wait: leg.UnknownWait}
+		s.legs[id] = &openLeg{request: request, done: done, came: now, wait: leg.UnknownQueueTime}
 		return s.home.Submit(now, home.Leg{
-			ID:          id,
-			Request:     request.Request,
-			Class:       class,
-			Caller:      request.Caller,
-			Deadline:    request.Deadline,
-			Idempotent:  request.Idempotent,
-			Fingerprint: request.Fingerprint,
-			Bytes:       len(request.Body),
-			Due:         request.Due,
-			Optional:    request.Optional,
-			MaxServers:  request.MaxServers,
-			Only:        request.Only,
-			Regions:     regionsOf(request),
-			Forwarded:   request.Forward != nil,
+			ID:           id,
+			Request:      request.Request,
+			Class:        class,
+			Caller:       request.Caller,
+			Deadline:     request.Deadline,
+			Idempotent:   request.Idempotent,
+			Fingerprint:  request.Fingerprint,
+			Bytes:        len(request.Body),
+			SoftDeadline: request.SoftDeadline,
+			Optional:     request.Optional,
+			MaxServers:   request.MaxServers,
+			PinnedServer: request.PinnedServer,
+			Regions:      regionsOf(request),
+			Forwarded:    request.Forward != nil,
 		}, acts)
 	})
 }
@@ -111,7 +111,7 @@
 	gone.done(leg.Failed(gone.request, result.Cancelled, outcome, "cancelled"))
 }
 
-func (s *service) setServers(known []Known) {
+func (s *service) setServers(known []KnownServer) {
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
 		specs := make([]home.ServerSpec, len(known))
 		servers := make(map[string]backend.Server, len(known))
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	s.acts = decision(s.server.now(), s.acts[:0])
 	endings := s.carryOut(s.acts)
-	changes := s.home.TakeChanges()
+	changes := s.home.DrainChanges()
 	s.setTimer()
 	s.mu.Unlock()
 	for _, change := range changes {
@@ -214,7 +214,7 @@
 	suspect := s.server.watcher.Ended(call.Attempt, server, fingerprint, end)
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
 		s.note(s.attempts[call.Attempt], end)
-		acts = s.home.Finish(now, call.Attempt, home.End{
+		acts = s.home.Finish(now, call.Attempt, home.AttemptResult{
 			Outcome:    end.Outcome,
 			Fault:      end.Fault,
 			Load:       end.Reply.Load,
@@ -249,7 +249,7 @@
 	r := leg.Failed(l.request, act.Code, act.Outcome, "")
 	r.Attempts = l.attempts
 	r.Hedges = l.hedges
-	r.Wait = l.wait
+	r.QueueTime = l.wait
 	r.RetryAfter = act.RetryAfter
 	r.Reply = l.reply
 	if l.notHeld {
@@ -261,7 +261,7 @@
 		r.Snapshot = reply.Snapshot
 		r.Body = reply.Body
 		r.Digest = leg.Digest(reply.Body)
-		r.Held = reply.Held
+		r.HeldSnapshots = reply.Held
 		r.Reply = reply.Forwarded
 	}
 	return ending{done: l.done, result: r}, true
--- a/host.go
+++ b/host.go
@@ -198,7 +198,7 @@
 	if stop := h.stop.Load(); stop != nil && stop.Phase(h.parts.Now(), 1) >= drain.PhaseRefusing {
 		return &result.Error{Code: result.Draining, Hosts: h.otherHosts()}
 	}
-	if h.parts.Member.CutOff(h.parts.Now(), h.parts.Rollout.StoreHeardAt(), h.parts.Settings.Limits.CutOffAfter) {
+	if h.parts.Member.CutOff(h.parts.Now(), h.parts.Rollout.LastStoreContact(), h.parts.Settings.Limits.CutOffAfter) {
 		return &result.Error{Code: result.CutOff, Hosts: h.otherHosts()}
 	}
 	return nil
@@ -225,7 +225,7 @@
 // Serving reports whether the host is ready and has heard from the platform
 // which backend servers and snapshots there are.
 func (h *Host) Serving() bool {
-	return h.Ready() == nil && !h.parts.Catalog.HeardAt().IsZero()
+	return h.Ready() == nil && !h.parts.Catalog.LastContact().IsZero()
 }
 
 // Abort ends the host at once, as a crash would: nothing is said to anybody.
--- a/load/inject.go
+++ b/load/inject.go
@@ -175,7 +175,7 @@
 	return fmt.Sprintf("generation %d", receipt.Ref.Generation)
 }
 
-func (in *injector) submitChange(reason string) (rollout.Receipt, error) {
+func (in *injector) submitChange(reason string) (rollout.SubmitResult, error) {
 	const leastBudget, steps = 0.05, 50
 	in.mu.Lock()
 	in.changes++
--- a/load/shape.go
+++ b/load/shape.go
@@ -146,13 +146,13 @@
 		kind = bundle.KindBooking
 	}
 	return bundle.Route{
-		Name:          stream.Route,
-		Kind:          kind,
-		Index:         stream.Index,
-		Callers:       s.callersOf(stream.Role),
-		Classes:       []string{stream.Class},
-		Prefer:        stream.Prefer,
-		LeastCoverage: stream.LeastCoverage,
-		MaxDeadline:   bundle.Duration(s.longestWait()),
+		Name:        stream.Route,
+		Kind:        kind,
+		Index:       stream.Index,
+		Callers:     s.callersOf(stream.Role),
+		Classes:     []string{stream.Class},
+		Prefer:      stream.Prefer,
+		MinCoverage: stream.LeastCoverage,
+		MaxDeadline: bundle.Duration(s.longestWait()),
 	}
 }
--- a/member/agent.go
+++ b/member/agent.go
@@ -54,13 +54,13 @@
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer // nil: no metrics
 
-	// OnConfigNews hears of a configuration newer than the one announced by
+	// OnConfigUpdate hears of a configuration newer than the one announced by
 	// AnnounceConfig, again with each message until then.
-	OnConfigNews func(ConfigNews)
-	// OnBackendNews hears once of each leaving life of a backend server.
-	OnBackendNews func(BackendNews)
+	OnConfigUpdate func(ConfigUpdate)
+	// OnBackendUpdate hears once of each leaving life of a backend server.
+	OnBackendUpdate func(BackendUpdate)
 	// OnSuspectRequest hears once of each suspicion.
-	OnSuspectRequest func(SuspectRequestNews)
+	OnSuspectRequest func(SuspectRequestUpdate)
 	// OnView hears of each published view.
 	OnView func(*View)
 	// OnReplaced hears once that another process runs under this host's ID:
@@ -120,8 +120,8 @@
 // Incarnation is this host's life. It can rise until Joined, see Membership.
 func (a *Agent) Incarnation() ident.Incarnation { return ident.Incarnation(a.incarnation.Load()) }
 
-// PeerHeardAt is when a peer last answered; zero: never.
-func (a *Agent) PeerHeardAt() time.Time {
+// LastPeerContact is when a peer last answered; zero: never.
+func (a *Agent) LastPeerContact() time.Time {
 	nanos := a.peerHeardAt.Load()
 	if nanos == 0 {
 		return time.Time{}
@@ -134,7 +134,7 @@
 func (a *Agent) CutOff(now, storeHeardAt time.Time, after time.Duration) bool {
 	return CutOff(now, Contact{
 		StartedAt:    a.startedAt,
-		PeerHeardAt:  a.PeerHeardAt(),
+		PeerHeardAt:  a.LastPeerContact(),
 		StoreHeardAt: storeHeardAt,
 		Minority:     a.View().Minority,
 	}, after)
@@ -152,12 +152,12 @@
 }
 
 // AnnounceBackend tells peers that a life of a backend server is leaving.
-func (a *Agent) AnnounceBackend(news BackendNews) {
+func (a *Agent) AnnounceBackend(news BackendUpdate) {
 	a.post(func(now time.Time, m *Membership) { m.AnnounceBackend(now, news) })
 }
 
 // AnnounceSuspectRequest tells peers of a request in flight at a lost server.
-func (a *Agent) AnnounceSuspectRequest(news SuspectRequestNews) {
+func (a *Agent) AnnounceSuspectRequest(news SuspectRequestUpdate) {
 	a.post(func(now time.Time, m *Membership) { m.AnnounceSuspectRequest(now, news) })
 }
 
@@ -266,13 +266,13 @@
 
 func (a *Agent) deliver(received Received) {
 	for _, news := range received.Configs {
-		if a.config.OnConfigNews != nil {
-			a.config.OnConfigNews(news)
+		if a.config.OnConfigUpdate != nil {
+			a.config.OnConfigUpdate(news)
 		}
 	}
 	for _, news := range received.Backends {
-		if a.config.OnBackendNews != nil {
-			a.config.OnBackendNews(news)
+		if a.config.OnBackendUpdate != nil {
+			a.config.OnBackendUpdate(news)
 		}
 	}
 	for _, news := range received.Suspects {
--- a/member/news.go
+++ b/member/news.go
@@ -21,9 +21,9 @@
 	maxCorrections = 8
 )
 
-// ConfigNews says how new From's configuration and its knowledge of backend
+// ConfigUpdate says how new From's configuration and its knowledge of backend
 // servers are; it can give the configuration.
-type ConfigNews struct {
+type ConfigUpdate struct {
 	From         ident.HostID
 	FromAddress  string // IP and port of From's peer listener
 	Generation   uint64
@@ -63,14 +63,14 @@
 	}
 }
 
-// BackendNews says that one life of a backend server is leaving or gone.
-type BackendNews struct {
+// BackendUpdate says that one life of a backend server is leaving or gone.
+type BackendUpdate struct {
 	Server      string
 	Incarnation uint64
 }
 
-// SuspectRequestNews says that a request was in flight at a server that died.
-type SuspectRequestNews struct {
+// SuspectRequestUpdate says that a request was in flight at a server that died.
+type SuspectRequestUpdate struct {
 	Fingerprint       uint64
 	Server            string
 	ServerIncarnation uint64
@@ -79,9 +79,9 @@
 
 // Received is news for other slices.
 type Received struct {
-	Configs  []ConfigNews // newer than what is in force here
-	Backends []BackendNews
-	Suspects []SuspectRequestNews
+	Configs  []ConfigUpdate // newer than what is in force here
+	Backends []BackendUpdate
+	Suspects []SuspectRequestUpdate
 }
 
 // TakeReceived returns the news that came since the last call.
@@ -123,13 +123,13 @@
 }
 
 // AnnounceBackend tells peers that a life of a backend server is leaving.
-func (m *Membership) AnnounceBackend(now time.Time, news BackendNews) {
+func (m *Membership) AnnounceBackend(now time.Time, news BackendUpdate) {
 	m.enter(now)
 	m.spreadBackend(now, &memberpb.BackendNews{Server: news.Server, Incarnation: news.Incarnation})
 }
 
 // AnnounceSuspectRequest tells peers of a suspected request.
-func (m *Membership) AnnounceSuspectRequest(now time.Time, news SuspectRequestNews) {
+func (m *Membership) AnnounceSuspectRequest(now time.Time, news SuspectRequestUpdate) {
 	m.enter(now)
 	m.spreadRequest(now, &memberpb.SuspectRequestNews{
 		Fingerprint:       news.Fingerprint,
@@ -311,7 +311,7 @@
 	}
 	for _, b := range news.GetBackends() {
 		if m.spreadBackend(now, b) {
-			m.received.Backends = append(m.received.Backends, BackendNews{b.Server, b.Incarnation})
+			m.received.Backends = append(m.received.Backends, BackendUpdate{b.Server, b.Incarnation})
 		}
 	}
 	for _, q := range news.GetSuspects() {
@@ -322,8 +322,8 @@
 	m.applyConfig(sender, news.GetConfig())
 }
 
-func suspectFromWire(q *memberpb.SuspectRequestNews) SuspectRequestNews {
-	return SuspectRequestNews{
+func suspectFromWire(q *memberpb.SuspectRequestNews) SuspectRequestUpdate {
+	return SuspectRequestUpdate{
 		Fingerprint:       q.Fingerprint,
 		Server:            q.Server,
 		ServerIncarnation: q.ServerIncarnation,
@@ -341,7 +341,7 @@
 	if r == nil {
 		return
 	}
-	m.received.Configs = append(m.received.Configs, ConfigNews{
+	m.received.Configs = append(m.received.Configs, ConfigUpdate{
 		From:         r.ID,
 		FromAddress:  r.PeerAddress,
 		Generation:   news.Generation,
--- a/operators.go
+++ b/operators.go
@@ -55,7 +55,7 @@
 		InFlight:    h.busy(),
 	}
 	s.Quarantine = h.parts.Crashes.book.Entries(h.parts.Now())
-	if ref := h.parts.Rollout.InForce(); !ref.IsZero() {
+	if ref := h.parts.Rollout.ActiveRef(); !ref.IsZero() {
 		s.Generation = ref.Generation
 		s.Manifest = ref.Hash.Short()
 	}
--- a/parts.go
+++ b/parts.go
@@ -60,7 +60,7 @@
 	Pins        *snapshot.Pins
 	Coordinator *scatter.Coordinator
 	Incarnation ident.Incarnation
-	Desk        *booking.Desk
+	Desk        *booking.Executor
 	Servers     *servers
 	Admission   *admit.Controller
 	Advisor     *entry.Advisor
@@ -71,18 +71,18 @@
 // late is what parts built early need of parts built later. It is bound before
 // anything runs.
 type late struct {
-	configNews func(member.ConfigNews)
+	configNews func(member.ConfigUpdate)
 	runBooking booking.Runner
 	applied    func(*bundle.Config)
-	watcher    homeserver.Watcher
-	backend    func(member.BackendNews)
-	suspect    func(member.SuspectRequestNews)
+	watcher    homeserver.AttemptObserver
+	backend    func(member.BackendUpdate)
+	suspect    func(member.SuspectRequestUpdate)
 	replaced   func()
 }
 
 func (l *late) bind(h *Host) {
-	l.configNews = func(news member.ConfigNews) {
-		h.parts.Rollout.Heard(&memberpb.ConfigNews{
+	l.configNews = func(news member.ConfigUpdate) {
+		h.parts.Rollout.HandleConfigUpdate(&memberpb.ConfigNews{
 			Generation:   news.Generation,
 			ManifestHash: news.ManifestHash,
 		}, news.FromAddress)
--- a/parts_control.go
+++ b/parts_control.go
@@ -26,17 +26,17 @@
 			},
 			Seeds: s.Peers,
 		},
-		Pool:          pool,
-		HostList:      list,
-		Now:           now,
-		Logger:        log,
-		Registerer:    registry,
-		OnConfigNews:  func(news member.ConfigNews) { later.configNews(news) },
-		OnBackendNews: func(news member.BackendNews) { later.backend(news) },
+		Pool:            pool,
+		HostList:        list,
+		Now:             now,
+		Logger:          log,
+		Registerer:      registry,
+		OnConfigUpdate:  func(news member.ConfigUpdate) { later.configNews(news) },
+		OnBackendUpdate: func(news member.BackendUpdate) { later.backend(news) },
 
 		OnReplaced: func() { later.replaced() },
 
-		OnSuspectRequest: func(news member.SuspectRequestNews) { later.suspect(news) },
+		OnSuspectRequest: func(news member.SuspectRequestUpdate) { later.suspect(news) },
 	})
 }
 
@@ -46,16 +46,16 @@
 		return nil, err
 	}
 	return rollout.NewAgent(rollout.AgentConfig{
-		Address:    l.peers.Addr().String(),
-		Store:      store,
-		Peers:      pool,
-		Signers:    signers,
-		IsWatcher:  func() bool { return members.View().IsWatcher(s.Host.Zone, watchersPerZone) },
-		PeersFn:    func() []string { return livePeers(members.View(), s.Peers) },
-		Now:        now,
-		Logger:     log,
-		Registerer: registry,
-		OnApplied:  func(config *bundle.Config) { later.applied(config) },
+		Address:       l.peers.Addr().String(),
+		Store:         store,
+		Peers:         pool,
+		Signers:       signers,
+		IsWatcher:     func() bool { return members.View().IsWatcher(s.Host.Zone, watchersPerZone) },
+		PeerAddresses: func() []string { return livePeers(members.View(), s.Peers) },
+		Now:           now,
+		Logger:        log,
+		Registerer:    registry,
+		OnApplied:     func(config *bundle.Config) { later.applied(config) },
 	}), nil
 }
 
--- a/parts_traffic.go
+++ b/parts_traffic.go
@@ -53,7 +53,7 @@
 	none, err := bundle.Compile(0, bundle.Documents{})
 	return &crashes{
 		servers: s,
-		book:    quarantine.NewBook(none),
+		book:    quarantine.NewRegistry(none),
 		tracker: quarantine.NewTracker(),
 		members: members,
 		log:     log,
@@ -81,7 +81,7 @@
 		now:     now,
 		events:  make(chan func(), signalBuffer),
 		leaving: draining.NewTable(),
-		listing: catalog.NewListing(),
+		listing: catalog.NewServerList(),
 	}
 }
 
@@ -126,8 +126,8 @@
 const meanBodyBytes = 4 << 10
 
 func newCoordinator(h *homes, metrics *observe.Metrics, now clock, pins *snapshot.Pins) *scatter.Coordinator {
-	c := scatter.NewCoordinator(h, metrics, now, pins.Learn)
-	c.LostFor = lostFor
+	c := scatter.NewCoordinator(h, metrics, now, pins.RecordHeld)
+	c.LostLegGrace = lostFor
 	return c
 }
 
@@ -135,18 +135,18 @@
 // breaks of connections that were closed together within it.
 const lostFor = 100 * time.Millisecond
 
-func newDesk(s settings.Settings, incarnation ident.Incarnation, store metastore.Store, pool *peer.Pool, members *member.Agent, registry *prometheus.Registry, later *late) (*booking.Desk, error) {
-	desk := booking.NewDesk(booking.Config{
+func newDesk(s settings.Settings, incarnation ident.Incarnation, store metastore.Store, pool *peer.Pool, members *member.Agent, registry *prometheus.Registry, later *late) (*booking.Executor, error) {
+	desk := booking.NewExecutor(booking.Config{
 		Host:        ident.HostID(s.Host.Name),
 		Incarnation: incarnation,
 		Run:         func(ctx context.Context, r booking.Request) booking.Result { return later.runBooking(ctx, r) },
 		Store:       store,
-		Peers: booking.Links{
+		Peers: booking.DRPCPeers{
 			Dial: pool.Dial,
-			Find: func(host ident.HostID, _ ident.Incarnation) (string, bool) {
+			FindIssuer: func(host ident.HostID, _ ident.Incarnation) (string, bool) {
 				return findIssuer(members.View(), host)
 			},
-			Serving: func() []string { return servingPeers(members.View()) },
+			ServingPeers: func() []string { return servingPeers(members.View()) },
 		},
 	})
 	return desk, desk.RegisterMetrics(registry)
--- a/place/homes.go
+++ b/place/homes.go
@@ -75,11 +75,11 @@
 	return newHomes(newHostIndex(view), services)
 }
 
-// Of returns the home of the service and the host that takes over when the
+// Lookup returns the home of the service and the host that takes over when the
 // home is lost. The second is in another availability zone than the first
 // where there is one, so that losing a zone leaves a host to ask. Both are
 // empty for an unknown service, the second also with one serving host.
-func (h *Homes) Of(service string) (first, second ident.HostID) {
+func (h *Homes) Lookup(service string) (first, second ident.HostID) {
 	p := h.byService[service]
 	return p.first, p.second
 }
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -25,7 +25,7 @@
 	lost        int // services at first
 }
 
-// LostQuery is told, at the entry host of a query, that every leg of it was
+// RecordLostQuery is told, at the entry host of a query, that every leg of it was
 // lost with its server.
 //
 // Load: a request that crashes one server of each service at once, 20 to 92
@@ -36,7 +36,7 @@
 // have seen one of the deaths itself, as home of one of the services; a loss
 // of power takes the other servers too, so within a second half of these
 // services must answer requests that started after it.
-func (b *Book) LostQuery(now time.Time, f Fingerprint, services []string) {
+func (b *Registry) RecordLostQuery(now time.Time, f Fingerprint, services []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(services) < leastLost || b.verdicts.Contains(f) {
@@ -49,10 +49,10 @@
 	b.lost = append(b.lost, &lostQuery{fingerprint: f, at: now, services: slices.Clone(services), lost: len(services)})
 }
 
-// LegAnswered is told, at the entry host of a query, of each answered leg, and
+// RecordLegSuccess is told, at the entry host of a query, of each answered leg, and
 // when the query started: an answer from before the loss says nothing. It
 // returns the fingerprint that is condemned by it.
-func (b *Book) LegAnswered(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
+func (b *Registry) RecordLegSuccess(now, started time.Time, f Fingerprint, service string) (Fingerprint, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, q := range b.lost {
@@ -70,11 +70,11 @@
 	return 0, false
 }
 
-func (b *Book) recordLost(now time.Time, q *lostQuery) {
-	news := News{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
+func (b *Registry) recordLost(now time.Time, q *lostQuery) {
+	news := Evidence{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
 	b.absorbed.Add(news, struct{}{})
 	until := now.Add(time.Duration(b.cfg.Policy.QuarantineFor))
-	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []News{news}})
+	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []Evidence{news}})
 }
 
 // lostQueryServer stands in the news for the servers of all the query's legs.
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// News tells other hosts of a verdict: one death that it rests on. It has the
+// Evidence tells other hosts of a verdict: one death that it rests on. It has the
 // fields of the membership's SuspectRequestNews.
-type News struct {
+type Evidence struct {
 	Fingerprint Fingerprint
 	Server      string
 	Incarnation uint64
 	InFlight    uint32 // how many requests shared the blame
 }
 
-// ToNews lists the verdicts in force, for hosts that do not know them yet.
-func (b *Book) ToNews(now time.Time) []News {
+// ActiveEvidence lists the verdicts in force, for hosts that do not know them yet.
+func (b *Registry) ActiveEvidence(now time.Time) []Evidence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var news []News
+	var news []Evidence
 	for _, f := range b.verdicts.Keys() {
 		if v, ok := b.verdicts.Peek(f); ok && !now.After(v.until) {
 			news = append(news, v.evidence...)
@@ -27,13 +27,13 @@
 	return news
 }
 
-// Absorb takes another host's verdicts over and returns what was new, to be
+// Merge takes another host's verdicts over and returns what was new, to be
 // passed on. Each piece of evidence counts once: after the verdict has
 // expired, a late or repeated piece does not bring it back.
-func (b *Book) Absorb(now time.Time, news []News) []News {
+func (b *Registry) Merge(now time.Time, news []Evidence) []Evidence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var fresh []News
+	var fresh []Evidence
 	for _, n := range news {
 		if b.absorbed.Contains(n) {
 			continue
@@ -60,7 +60,7 @@
 }
 
 // Entries lists the verdicts in force, the newest last.
-func (b *Book) Entries(now time.Time) []Entry {
+func (b *Registry) Entries(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var entries []Entry
--- a/quarantine/track.go
+++ b/quarantine/track.go
@@ -36,24 +36,24 @@
 	Incarnation uint64
 }
 
-// Death is a server taken for dead, with the requests that may have done it.
-type Death struct {
+// Crash is a server taken for dead, with the requests that may have done it.
+type Crash struct {
 	Server
-	// Blamed are the requests that ran, or may still have run, on the server.
-	Blamed []Blame
+	// Suspects are the requests that ran, or may still have run, on the server.
+	Suspects []Suspect
 }
 
-// Blame is one request's part in a death.
-type Blame struct {
+// Suspect is one request's part in a death.
+type Suspect struct {
 	Fingerprint Fingerprint
 	Started     time.Time // of the latest attempt on the server
 }
 
 // Event is what a Tracker found out; at most one of its parts is set.
 type Event struct {
-	Died *Death
-	// Lives is a server that was taken for dead and has answered since.
-	Lives *Server
+	Crashed *Crash
+	// Recovered is a server that was taken for dead and has answered since.
+	Recovered *Server
 }
 
 // Tracker knows what runs on the backend servers that this host sends to.
@@ -84,8 +84,8 @@
 	return &Tracker{servers: make(map[string]*tracked), attempts: make(map[ident.AttemptID]*run)}
 }
 
-// Start notes that an attempt was sent to a server.
-func (t *Tracker) Start(now time.Time, attempt ident.AttemptID, server Server, f Fingerprint) {
+// AttemptStarted notes that an attempt was sent to a server.
+func (t *Tracker) AttemptStarted(now time.Time, attempt ident.AttemptID, server Server, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[server.Name]
@@ -98,7 +98,7 @@
 	t.attempts[attempt] = r
 }
 
-// End notes how an attempt ended, and reports a server's death or life that
+// AttemptEnded notes how an attempt ended, and reports a server's death or life that
 // follows from it. incarnation is the one that a reply named; zero: none.
 //
 // What counts as a death. Load: one connection of a living server breaks, or a
@@ -109,7 +109,7 @@
 // new one, is taken for a death at once, and taken back by the answer of the same
 // incarnation to an attempt that was sent after it: the answers to earlier ones may
 // have been sent before the crash. One break alone counts for nothing.
-func (t *Tracker) End(now time.Time, attempt ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
+func (t *Tracker) AttemptEnded(now time.Time, attempt ident.AttemptID, outcome result.Outcome, fault backend.Fault, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.attempts[attempt]
@@ -133,10 +133,10 @@
 	return Event{}
 }
 
-// Unreachable notes that a new connection to the server was refused. After
+// ConnectRefused notes that a new connection to the server was refused. After
 // each break the shell should dial the server once, at once: with a single
 // request in flight nothing else tells a death from a break before the restart.
-func (t *Tracker) Unreachable(now time.Time, name string) Event {
+func (t *Tracker) ConnectRefused(now time.Time, name string) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[name]
@@ -146,9 +146,9 @@
 	return on.unreachable(now)
 }
 
-// Incarnation notes what the host list, or a server's own word, says of the
+// ObserveIncarnation notes what the host list, or a server's own word, says of the
 // server's life.
-func (t *Tracker) Incarnation(now time.Time, name string, incarnation uint64) Event {
+func (t *Tracker) ObserveIncarnation(now time.Time, name string, incarnation uint64) Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	on := t.servers[name]
@@ -182,7 +182,7 @@
 	}
 	s.dead = false
 	server := s.server
-	return Event{Lives: &server}
+	return Event{Recovered: &server}
 }
 
 func (s *tracked) broke(now time.Time, r *run) Event {
@@ -227,30 +227,30 @@
 		return Event{}
 	}
 	s.dead, s.diedAt = true, now
-	death := &Death{Server: s.server}
+	death := &Crash{Server: s.server}
 	for _, r := range s.running {
 		death.blame(r)
 	}
 	for _, r := range slices.Concat(s.broken, s.past) {
 		death.blame(r)
 	}
-	slices.SortFunc(death.Blamed, func(a, b Blame) int {
+	slices.SortFunc(death.Suspects, func(a, b Suspect) int {
 		return cmp.Or(a.Started.Compare(b.Started), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
-	return Event{Died: death}
+	return Event{Crashed: death}
 }
 
 // blame counts a request once, however many of its attempts ran here.
-func (d *Death) blame(r *run) {
-	for i := range d.Blamed {
-		if d.Blamed[i].Fingerprint == r.fingerprint {
-			if r.started.After(d.Blamed[i].Started) {
-				d.Blamed[i].Started = r.started
+func (d *Crash) blame(r *run) {
+	for i := range d.Suspects {
+		if d.Suspects[i].Fingerprint == r.fingerprint {
+			if r.started.After(d.Suspects[i].Started) {
+				d.Suspects[i].Started = r.started
 			}
 			return
 		}
 	}
-	d.Blamed = append(d.Blamed, Blame{r.fingerprint, r.started})
+	d.Suspects = append(d.Suspects, Suspect{r.fingerprint, r.started})
 }
 
 func (s *tracked) forget(now time.Time) {
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -5,7 +5,7 @@
 )
 
 // against lists the deaths that speak against the request in the service.
-func (b *Book) against(now time.Time, f Fingerprint, service string) []*recorded {
+func (b *Registry) against(now time.Time, f Fingerprint, service string) []*recorded {
 	var deaths []*recorded
 	for _, d := range b.deaths {
 		if d.Service == service && now.Sub(d.at) <= evidenceFor && d.share(f) > 0 && !b.massDeath(d, f) {
@@ -17,7 +17,7 @@
 
 // massDeath reports whether another server died at about the same time
 // without the request running on it.
-func (b *Book) massDeath(death *recorded, f Fingerprint) bool {
+func (b *Registry) massDeath(death *recorded, f Fingerprint) bool {
 	for _, other := range b.deaths {
 		apart := other.at.Sub(death.at).Abs()
 		if other.Name != death.Name && apart <= massDeathFor && !other.names(f) {
@@ -39,7 +39,7 @@
 // most of the service's deaths, since a service that crashes by itself would
 // condemn whatever runs long; and one and a half times the blame of any other
 // suspect, which a request that ran beside the poison never has.
-func (b *Book) condemn(now time.Time, f Fingerprint, service string) bool {
+func (b *Registry) condemn(now time.Time, f Fingerprint, service string) bool {
 	if b.verdicts.Contains(f) {
 		return false
 	}
@@ -55,7 +55,7 @@
 }
 
 // enough counts events and servers.
-func (b *Book) enough(now time.Time, deaths []*recorded, f Fingerprint) bool {
+func (b *Registry) enough(now time.Time, deaths []*recorded, f Fingerprint) bool {
 	events := 0
 	var last time.Time
 	servers := make(map[string]bool)
@@ -70,7 +70,7 @@
 	return events >= b.wantedEvents(now, f) && (len(servers) >= wanted || len(deaths) >= wanted+extraDeaths)
 }
 
-func (b *Book) wantedEvents(now time.Time, f Fingerprint) int {
+func (b *Registry) wantedEvents(now time.Time, f Fingerprint) int {
 	if answered, ok := b.proven.Peek(f); ok && now.Sub(answered) <= evidenceFor {
 		return provenEvents
 	}
@@ -78,7 +78,7 @@
 }
 
 func (d *recorded) startOf(f Fingerprint) time.Time {
-	for _, blame := range d.Blamed {
+	for _, blame := range d.Suspects {
 		if blame.Fingerprint == f {
 			return blame.Started
 		}
@@ -88,7 +88,7 @@
 
 // mostOf: at least half of the service's deaths since the first one that
 // speaks against the request do so.
-func (b *Book) mostOf(now time.Time, deaths []*recorded, service string) bool {
+func (b *Registry) mostOf(now time.Time, deaths []*recorded, service string) bool {
 	all := 0
 	for _, d := range b.deaths {
 		if d.Service == service && !d.at.Before(deaths[0].at) && now.Sub(d.at) <= evidenceFor {
@@ -101,7 +101,7 @@
 func leads(deaths []*recorded, f Fingerprint) bool {
 	scores := make(map[Fingerprint]float64)
 	for _, d := range deaths {
-		for _, blame := range d.Blamed {
+		for _, blame := range d.Suspects {
 			scores[blame.Fingerprint] += d.share(blame.Fingerprint)
 		}
 	}
@@ -113,10 +113,10 @@
 	return true
 }
 
-func (b *Book) record(now time.Time, f Fingerprint, deaths []*recorded) {
+func (b *Registry) record(now time.Time, f Fingerprint, deaths []*recorded) {
 	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
 	for _, d := range deaths {
-		news := News{Fingerprint: f, Server: d.Name, Incarnation: d.Incarnation, InFlight: uint32(len(d.Blamed))}
+		news := Evidence{Fingerprint: f, Server: d.Name, Incarnation: d.Incarnation, InFlight: uint32(len(d.Suspects))}
 		v.evidence = append(v.evidence, news)
 		b.absorbed.Add(news, struct{}{})
 	}
--- a/result/document.go
+++ b/result/document.go
@@ -25,8 +25,8 @@
 so only a search may be sent again, or a booking under the same ticket.
 `
 
-// Document writes docs/result-codes.md.
-func Document() string {
+// Markdown writes docs/result-codes.md.
+func Markdown() string {
 	var b strings.Builder
 	b.WriteString(documentHead)
 	last := Group(0)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -33,17 +33,17 @@
 	return Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// NewPartBudget makes a budget that starts with a part of its burst, 0 to 1: for extra
+// NewPartialBudget makes a budget that starts with a part of its burst, 0 to 1: for extra
 // work that is not urgent enough to run far ahead of its share, and for hosts that may
 // have spent all of it just before they started again.
-func NewPartBudget(ratio, burst, part float64) Budget {
+func NewPartialBudget(ratio, burst, part float64) Budget {
 	b := NewBudget(ratio, burst)
 	b.tokens *= part
 	return b
 }
 
-// Set changes the limits and keeps what was earned.
-func (b *Budget) Set(ratio, burst float64) {
+// SetLimits changes the limits and keeps what was earned.
+func (b *Budget) SetLimits(ratio, burst float64) {
 	next := NewBudget(ratio, burst)
 	next.tokens = min(b.tokens, next.burst)
 	next.perSecond, next.passed = b.perSecond, b.passed
@@ -53,37 +53,37 @@
 // Earn counts one first attempt.
 func (b *Budget) Earn() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
-// SetRate sets what is earned by time, in attempts a second.
+// SetRefillRate sets what is earned by time, in attempts a second.
 //
 // Load: a service that is asked a few times a second, whose operator allows hundreds
 // of extra attempts in any ten seconds. Harm prevented: a budget of work alone hands
 // the allowance out once, and then a few attempts a second, while most of it stays
 // unused and stragglers are waited for. In any span a bucket gives no more than its
 // burst and what is earned meanwhile, so that the two together keep the limit.
-func (b *Budget) SetRate(perSecond float64) { b.perSecond = perSecond }
+func (b *Budget) SetRefillRate(perSecond float64) { b.perSecond = perSecond }
 
-// Pass earns what the time since the last call is worth.
-func (b *Budget) Pass(now time.Time) {
+// Refill earns what the time since the last call is worth.
+func (b *Budget) Refill(now time.Time) {
 	if !b.passed.IsZero() && now.After(b.passed) {
 		b.tokens = min(b.tokens+b.perSecond*now.Sub(b.passed).Seconds(), b.burst)
 	}
 	b.passed = now
 }
 
-// Allows reports whether one extra attempt could be paid.
-func (b *Budget) Allows() bool { return b.tokens >= 1 }
+// CanSpend reports whether one extra attempt could be paid.
+func (b *Budget) CanSpend() bool { return b.tokens >= 1 }
 
 // Spend pays for one extra attempt; false: there is nothing to pay it with.
 func (b *Budget) Spend() bool {
-	if !b.Allows() {
+	if !b.CanSpend() {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Fill is how full the bucket is, from 0 to 1.
-func (b *Budget) Fill() float64 {
+// FillRatio is how full the bucket is, from 0 to 1.
+func (b *Budget) FillRatio() float64 {
 	if b.burst <= 0 {
 		return 0
 	}
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -32,9 +32,9 @@
 	Signers bundle.Signers
 	// IsWatcher tells whether this host watches the store for its zone.
 	IsWatcher func() bool
-	// PeersFn returns the peers' listeners of the other live hosts. Before
+	// PeerAddresses returns the peers' listeners of the other live hosts. Before
 	// membership knows any it returns the addresses of the settings.
-	PeersFn func() []string
+	PeerAddresses func() []string
 	// Now is the clock; default time.Now.
 	Now func() time.Time
 	// Rand is the source of jitter, used by the agent alone.
@@ -120,26 +120,26 @@
 // Config is the configuration to serve from; nil until the host is ready.
 func (a *Agent) Config() *bundle.Config { return a.ready.Load() }
 
-// InForce names the configuration in force; zero: none yet.
-func (a *Agent) InForce() bundle.Ref {
+// ActiveRef names the configuration in force; zero: none yet.
+func (a *Agent) ActiveRef() bundle.Ref {
 	if p := a.published.Load(); p != nil {
 		return p.ref
 	}
 	return bundle.Ref{}
 }
 
-// News is what membership carries about this host's configuration; nil: none.
-func (a *Agent) News() *memberpb.ConfigNews {
-	ref := a.InForce()
+// ConfigUpdate is what membership carries about this host's configuration; nil: none.
+func (a *Agent) ConfigUpdate() *memberpb.ConfigNews {
+	ref := a.ActiveRef()
 	if ref.IsZero() {
 		return nil
 	}
 	return &memberpb.ConfigNews{Generation: ref.Generation, ManifestHash: ref.Hash[:]}
 }
 
-// StoreHeardAt is when the store last answered; zero: never. Only watchers ask
+// LastStoreContact is when the store last answered; zero: never. Only watchers ask
 // it all the time, so on other hosts it may be long ago.
-func (a *Agent) StoreHeardAt() time.Time {
+func (a *Agent) LastStoreContact() time.Time {
 	nanos := a.storeHeardAt.Load()
 	if nanos == 0 {
 		return time.Time{}
@@ -155,10 +155,10 @@
 	return ""
 }
 
-// Heard takes news of another host's configuration, with the address of its
+// HandleConfigUpdate takes news of another host's configuration, with the address of its
 // peers' listener. It never blocks: news that finds the agent busy is dropped,
 // and comes again with the next message of membership.
-func (a *Agent) Heard(news *memberpb.ConfigNews, from string) {
+func (a *Agent) HandleConfigUpdate(news *memberpb.ConfigNews, from string) {
 	if news == nil || news.GetGeneration() == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 }
 
 func (a *Agent) hear(ref bundle.Ref, from string) {
-	if a.InForce() == ref {
+	if a.ActiveRef() == ref {
 		return // by far the most frequent news
 	}
 	select {
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -62,7 +62,7 @@
 			a.post(ctx, headRead{head: value, found: true})
 		}
 		a.post(ctx, settled{SourceStore})
-		if pause(ctx, wait.NextBackOff()) != nil || !a.InForce().IsZero() {
+		if pause(ctx, wait.NextBackOff()) != nil || !a.ActiveRef().IsZero() {
 			return
 		}
 	}
@@ -128,7 +128,7 @@
 		ref, _, err = readRef(ctx, a.config.Store)
 		return err
 	})
-	if err != nil || !(wantHead || ref.Generation > a.InForce().Generation) {
+	if err != nil || !(wantHead || ref.Generation > a.ActiveRef().Generation) {
 		return err
 	}
 	value, _, err := a.readStoreHead(ctx)
--- a/rollout/operators.go
+++ b/rollout/operators.go
@@ -10,8 +10,8 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// Accepted is one accepted generation in the history.
-type Accepted struct {
+// AcceptedGeneration is one accepted generation in the history.
+type AcceptedGeneration struct {
 	Ref      bundle.Ref  `json:"ref"`
 	Parent   bundle.Ref  `json:"parent"`
 	Author   string      `json:"author"`
@@ -80,12 +80,12 @@
 }
 
 // History reads the newest accepted generations, at most limit, newest first.
-func History(ctx context.Context, store metastore.Store, limit int) ([]Accepted, error) {
+func History(ctx context.Context, store metastore.Store, limit int) ([]AcceptedGeneration, error) {
 	current, err := readHead(ctx, store)
 	if err != nil || current.ref.IsZero() {
 		return nil, err
 	}
-	var accepted []Accepted
+	var accepted []AcceptedGeneration
 	signed := current.signed
 	for len(accepted) < limit {
 		ref, m, err := refOf(signed)
@@ -103,8 +103,8 @@
 	return accepted, nil
 }
 
-func acceptedOf(ref bundle.Ref, m bundle.Manifest, signed bundle.Signed) Accepted {
-	a := Accepted{
+func acceptedOf(ref bundle.Ref, m bundle.Manifest, signed bundle.Signed) AcceptedGeneration {
+	a := AcceptedGeneration{
 		Ref: ref, Parent: m.Parent, Author: m.Author, Reason: m.Reason,
 		Created: m.Created, Restores: m.Restores,
 	}
--- a/rollout/peers.go
+++ b/rollout/peers.go
@@ -25,7 +25,7 @@
 
 // somePeers draws up to n different peers.
 func (a *Agent) somePeers(n int) []string {
-	addresses := append([]string(nil), a.config.PeersFn()...)
+	addresses := append([]string(nil), a.config.PeerAddresses()...)
 	n = min(n, len(addresses))
 	for i := range n {
 		j := i + int(a.jitter(time.Duration(len(addresses)-1-i)))
@@ -36,7 +36,7 @@
 
 // notify tells a few peers what has come in force here.
 func (a *Agent) notify(t *tasks) {
-	ref := a.InForce()
+	ref := a.ActiveRef()
 	for _, address := range a.somePeers(notifyFanout) {
 		t.run(func(ctx context.Context) { _ = a.exchange(ctx, address, ref) })
 	}
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -26,7 +26,7 @@
 		}
 		s.agent.hear(bundle.Ref{Generation: request.GetGeneration(), Hash: hash}, request.GetAddress())
 	}
-	ref := s.agent.InForce()
+	ref := s.agent.ActiveRef()
 	if ref.IsZero() {
 		return &rolloutpb.NotifyReply{}, nil
 	}
--- a/rollout/submit.go
+++ b/rollout/submit.go
@@ -51,8 +51,8 @@
 // Unwrap returns the last error of the store.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// Receipt tells what a submit did.
-type Receipt struct {
+// SubmitResult tells what a submit did.
+type SubmitResult struct {
 	Ref bundle.Ref `json:"ref"`
 	// Superseded: it was accepted, and a later change has been accepted since.
 	Superseded bool `json:"superseded,omitempty"`
@@ -69,10 +69,10 @@
 // The errors: *bundle.SignatureError and bundle.Problems refuse the change,
 // *ConflictError means that another came first, *UnknownError that the outcome
 // is open; any other means that this submit did not move the head.
-func Submit(ctx context.Context, store metastore.Store, signers bundle.Signers, change bundle.Change) (Receipt, error) {
+func Submit(ctx context.Context, store metastore.Store, signers bundle.Signers, change bundle.Change) (SubmitResult, error) {
 	s, err := newSubmitter(store, signers, change)
 	if err != nil {
-		return Receipt{}, err
+		return SubmitResult{}, err
 	}
 	return s.run(ctx)
 }
@@ -115,7 +115,7 @@
 	}, nil
 }
 
-func (s *submitter) run(ctx context.Context) (Receipt, error) {
+func (s *submitter) run(ctx context.Context) (SubmitResult, error) {
 	started := time.Now()
 	wait := newBackoff(operatorFirstBackoff, operatorLastBackoff)
 	next := stepReadHead
@@ -126,17 +126,17 @@
 		case err != nil && ctx.Err() == nil && retryable(err):
 			_ = pause(ctx, wait.NextBackOff())
 		case err != nil:
-			return Receipt{}, s.failure(err)
+			return SubmitResult{}, s.failure(err)
 		case next == stepAccepted:
 			s.announce(ctx)
-			return Receipt{
+			return SubmitResult{
 				Ref:              s.logic.self,
 				Superseded:       s.head.ref.Generation > s.logic.self.Generation,
 				DocumentsWritten: len(s.written),
 				Elapsed:          time.Since(started),
 			}, nil
 		case next == stepConflict:
-			return Receipt{}, s.conflict(ctx)
+			return SubmitResult{}, s.conflict(ctx)
 		}
 	}
 }
--- a/route/route.go
+++ b/route/route.go
@@ -23,17 +23,17 @@
 
 // Limits bound what a caller may send on a connection. Zero: no bound stated.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration // for the head of a request
-	IdleTime    time.Duration // between two requests
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration // for the head of a request
+	IdleTimeout    time.Duration // between two requests
 }
 
 // Service is a set of backend servers that answer equally well.
 type Service struct {
 	Name string
-	// Connections is each backend server's limit over all hosts; 0: not known.
-	Connections int
+	// MaxConnections is each backend server's limit over all hosts; 0: not known.
+	MaxConnections int
 	// Warmup is what its backend servers bear while they are cold.
 	Warmup eligible.Warmup
 }
@@ -47,41 +47,41 @@
 	Idempotent bool
 	// Timeout is the longest a request is kept waiting.
 	Timeout time.Duration
-	// Target is the latency within which an answer has its full worth.
-	Target time.Duration
+	// TargetLatency is the latency within which an answer has its full worth.
+	TargetLatency time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// MaxServers bounds the backend servers that one request, or one shard's
 	// part of it, may be sent to; 0: no bound.
 	MaxServers int
-	// Shares are the services of a plain route; one of them gets the request.
-	Shares []Share
+	// WeightedServices are the services of a plain route; one of them gets the request.
+	WeightedServices []WeightedService
 	// Shards are the services of a route that asks all of them; empty: plain.
 	Shards []string
-	// Greatest is how many records an answer of all shards holds.
-	Greatest int
-	// LeastShare is the share of shards, 0 to 1, below which there is no answer.
-	LeastShare float64
+	// TopK is how many records an answer of all shards holds.
+	TopK int
+	// MinShardShare is the share of shards, 0 to 1, below which there is no answer.
+	MinShardShare float64
 	// Regions are those whose backend servers may run the route's requests; empty: any.
 	Regions []string
 }
 
-// Share is one service of a plain route and its weight against the others.
-type Share struct {
+// WeightedService is one service of a plain route and its weight against the others.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// AsksAll reports whether requests go to every shard.
-func (r *Route) AsksAll() bool { return len(r.Shards) > 0 }
+// IsFanout reports whether requests go to every shard.
+func (r *Route) IsFanout() bool { return len(r.Shards) > 0 }
 
 // Services lists the services that requests on the route may go to.
 func (r *Route) Services() []string {
-	if r.AsksAll() {
+	if r.IsFanout() {
 		return r.Shards
 	}
-	names := make([]string, len(r.Shares))
-	for i, share := range r.Shares {
+	names := make([]string, len(r.WeightedServices))
+	for i, share := range r.WeightedServices {
 		names[i] = share.Service
 	}
 	return names
@@ -110,25 +110,25 @@
 		return errors.New("no host name")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return errors.Errorf("prefix %q must begin and end with a slash", r.Prefix)
-	case r.AsksAll() == (len(r.Shares) > 0):
+	case r.IsFanout() == (len(r.WeightedServices) > 0):
 		return errors.New("it must name either shards or a service")
-	case r.AsksAll() && r.Greatest <= 0:
+	case r.IsFanout() && r.TopK <= 0:
 		return errors.New("a route over shards must say how many records it returns")
-	case r.AsksAll() && !r.Idempotent:
+	case r.IsFanout() && !r.Idempotent:
 		return errors.New("a route over shards must be idempotent")
-	case r.LeastShare < 0 || r.LeastShare > 1:
-		return errors.Errorf("least share %v is not between 0 and 1", r.LeastShare)
-	case r.Timeout < 0 || r.Target < 0:
+	case r.MinShardShare < 0 || r.MinShardShare > 1:
+		return errors.Errorf("least share %v is not between 0 and 1", r.MinShardShare)
+	case r.Timeout < 0 || r.TargetLatency < 0:
 		return errors.New("a time is negative")
 	}
 	total := 0.0
-	for _, share := range r.Shares {
+	for _, share := range r.WeightedServices {
 		if share.Weight < 0 {
 			return errors.Errorf("the weight of service %s is negative", share.Service)
 		}
 		total += share.Weight
 	}
-	if len(r.Shares) > 0 && total <= 0 {
+	if len(r.WeightedServices) > 0 && total <= 0 {
 		return errors.New("the weights add up to nothing")
 	}
 	seen := make(map[string]bool)
--- a/route/table.go
+++ b/route/table.go
@@ -81,7 +81,7 @@
 // at such numbers. Multiples of the golden ratio, modulo 1, fall evenly: of n
 // requests each share gets its part to within about one.
 func (e *entry) share() string {
-	shares := e.route.Shares
+	shares := e.route.WeightedServices
 	if len(shares) <= 1 {
 		if len(shares) == 0 {
 			return ""
@@ -104,7 +104,7 @@
 }
 
 // heaviest catches what rounding leaves over, and is never a share of weight 0.
-func heaviest(shares []Share) string {
+func heaviest(shares []WeightedService) string {
 	best := shares[0]
 	for _, s := range shares[1:] {
 		if s.Weight > best.Weight {
--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// LeastParts is how many of the shards an answer must have for the coverage, 0 to 1.
-func LeastParts(coverage float64, total int) int {
+// RequiredShards is how many of the shards an answer must have for the coverage, 0 to 1.
+func RequiredShards(coverage float64, total int) int {
 	const rounding = 1e-9 // 0.55 of 20 shards are 11, and a little more as a float
 	return int(math.Ceil(coverage*float64(total) - rounding))
 }
@@ -34,7 +34,7 @@
 	Optional []bool
 }
 
-// Decide weighs the forecasts of a query's shards, in their order, against the
+// DecideAdmission weighs the forecasts of a query's shards, in their order, against the
 // time that is left for legs to be in time.
 //
 // Load: services above their capacity for seconds, by a burst or since half of
@@ -45,19 +45,19 @@
 // time, 0.97 with this decision. Limits: what is late since a server is slow, and not
 // since others are before it, takes nothing from anybody and goes on; and so does
 // a query that can do without the shards that are late.
-func Decide(plan *Plan, left time.Duration, forecasts []leg.Forecast) Admission {
-	spare := len(forecasts) - LeastParts(plan.LeastCoverage, len(forecasts))
+func DecideAdmission(plan *Plan, left time.Duration, forecasts []leg.Forecast) Admission {
+	spare := len(forecasts) - RequiredShards(plan.MinCoverage, len(forecasts))
 	var decided Admission
 	late := 0
 	for i, f := range forecasts {
-		if f.Silent || f.Wait > 0 && f.Wait > time.Duration(waitShare*float64(left-f.Run)) {
+		if f.Unresponsive || f.QueueTime > 0 && f.QueueTime > time.Duration(waitShare*float64(left-f.ServiceTime)) {
 			decided.leaveOut(i, len(forecasts))
 			late++
 		}
 	}
 	decided.Refuse = late > spare
 	for i, f := range forecasts {
-		if late < spare && f.Run > left && !decided.leavesOut(i) {
+		if late < spare && f.ServiceTime > left && !decided.leavesOut(i) {
 			decided.leaveOut(i, len(forecasts))
 			late++
 		}
@@ -76,11 +76,11 @@
 
 // admit decides whether the query's legs are sent.
 func (r *run) admit() bool {
-	if r.work.Target.IsZero() || !r.asksMany() {
+	if r.work.SoftDeadline.IsZero() || !r.asksMany() {
 		return true
 	}
 	forecasts := r.forecasts()
-	decided := Decide(&r.work.Plan, r.due().Sub(r.started), forecasts)
+	decided := DecideAdmission(&r.work.Plan, r.due().Sub(r.started), forecasts)
 	r.optional = decided.Optional
 	if !decided.Refuse {
 		return true
@@ -101,7 +101,7 @@
 // silentShards counts the shards without a result whose services are silent.
 func (r *run) silentShards() (n int) {
 	for i, shard := range r.work.Snapshot.Shards {
-		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.work.Class).Silent {
+		if !r.query.Settled(i) && r.c.homes.Forecast(shard.Service, r.work.Class).Unresponsive {
 			n++
 		}
 	}
@@ -136,8 +136,8 @@
 	comeBackMost  = 0.30
 )
 
-// ComeBackAfter is when a query that was refused at now may be sent again.
-func ComeBackAfter(plan *Plan, now time.Time) time.Duration {
+// RetryAfter is when a query that was refused at now may be sent again.
+func RetryAfter(plan *Plan, now time.Time) time.Duration {
 	drawn := float64(binary.BigEndian.Uint32(plan.Request[12:])) / (1 << 32)
 	part := comeBackLeast + drawn*(comeBackMost-comeBackLeast)
 	return time.Duration(part * float64(plan.Deadline.Sub(now)))
@@ -145,5 +145,5 @@
 
 // refuse ends the query before any leg is sent.
 func (r *run) refuse(why string) {
-	r.query.Refuse(result.Overloaded, why, ComeBackAfter(&r.work.Plan, r.started))
+	r.query.Refuse(result.Overloaded, why, RetryAfter(&r.work.Plan, r.started))
 }
--- a/scatter/answer.go
+++ b/scatter/answer.go
@@ -16,8 +16,8 @@
 	Reply *forward.Reply // to a forwarded request; else nil
 }
 
-// Missing is one shard that an answer lacks, and why.
-type Missing struct {
+// MissingShard is one shard that an answer lacks, and why.
+type MissingShard struct {
 	Shard   snapshot.ShardID
 	Service string
 	Code    result.Code
@@ -26,12 +26,12 @@
 	Reply *forward.Reply
 }
 
-// LegTime is how one leg went, as its root saw it.
-type LegTime struct {
-	Service string
-	Time    time.Duration // from the query's start until its result, or its end
-	Wait    time.Duration // at its home; leg.UnknownWait when not known
-	Missed  bool          // no result came in time
+// LegTiming is how one leg went, as its root saw it.
+type LegTiming struct {
+	Service  string
+	Time     time.Duration // from the query's start until its result, or its end
+	Wait     time.Duration // at its home; leg.UnknownWait when not known
+	TimedOut bool          // no result came in time
 }
 
 // Answer is the one terminal result of a query. Its coverage is len(Parts) of
@@ -43,14 +43,14 @@
 	Snapshot   *snapshot.Snapshot
 	Total      int
 	Parts      []Part
-	Missing    []Missing
+	Missing    []MissingShard
 	Attempts   int
 	Hedges     int
 	RetryAfter time.Duration
 	// Legs tells how each leg went, for the admission of later queries.
-	Legs []LegTime
-	// Stale: the query ended early for a restart, see Plan.Restartable.
-	Stale bool
+	Legs []LegTiming
+	// NeedsRestart: the query ended early for a restart, see Plan.Restartable.
+	NeedsRestart bool
 }
 
 func (q *Query) finish() {
@@ -58,12 +58,12 @@
 		return
 	}
 	a := &Answer{
-		Request:  q.plan.Request,
-		Snapshot: q.plan.Snapshot,
-		Total:    len(q.shards),
-		Attempts: q.attempts,
-		Hedges:   q.hedges,
-		Stale:    q.stale,
+		Request:      q.plan.Request,
+		Snapshot:     q.plan.Snapshot,
+		Total:        len(q.shards),
+		Attempts:     q.attempts,
+		Hedges:       q.hedges,
+		NeedsRestart: q.stale,
 	}
 	notRun := true
 	for i := range q.shards {
@@ -81,7 +81,7 @@
 		a.Parts = append(a.Parts, Part{Shard: spec.ID, Body: shard.body, Reply: shard.reply})
 		return false
 	}
-	missing := Missing{Shard: spec.ID, Service: spec.Service, Code: shard.code, Detail: shard.detail, Reply: shard.reply}
+	missing := MissingShard{Shard: spec.ID, Service: spec.Service, Code: shard.code, Detail: shard.detail, Reply: shard.reply}
 	if !shard.settled {
 		// The least coverage was out of reach while this leg was under way.
 		missing.Code = result.Cancelled
@@ -122,7 +122,7 @@
 
 // notRunCode is the code of a request that ran nowhere: the first missing
 // shard's own, if it claims no more than "not run".
-func notRunCode(missing []Missing) result.Code {
+func notRunCode(missing []MissingShard) result.Code {
 	for _, m := range missing {
 		if m.Code.NotRun() {
 			return m.Code
@@ -131,7 +131,7 @@
 	return result.BackendsRefused
 }
 
-func anyOf(missing []Missing, code result.Code) bool {
+func anyOf(missing []MissingShard, code result.Code) bool {
 	for _, m := range missing {
 		if m.Code == code {
 			return true
@@ -140,7 +140,7 @@
 	return false
 }
 
-func allOf(missing []Missing, code result.Code) bool {
+func allOf(missing []MissingShard, code result.Code) bool {
 	for _, m := range missing {
 		if m.Code != code {
 			return false
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -30,8 +30,8 @@
 	Restart()
 }
 
-// Work is what every leg of a query has in common.
-type Work struct {
+// QuerySpec is what every leg of a query has in common.
+type QuerySpec struct {
 	Plan
 	Index       string
 	Class       string
@@ -46,7 +46,7 @@
 
 // Coordinator runs queries. It holds no state between them.
 type Coordinator struct {
-	// LostFor is how long the open legs of a query go on that failed for legs that were
+	// LostLegGrace is how long the open legs of a query go on that failed for legs that were
 	// lost, or refused as those of a request that may crash servers; 0: they are cancelled
 	// at once. Set it before the first query.
 	//
@@ -55,7 +55,7 @@
 	// connections break, and their homes never ask whether these servers live. It shows
 	// as a request that is sent again and crashes two more servers there before the
 	// restart tells. The guard holds because the break arrives while the attempt is open.
-	LostFor time.Duration
+	LostLegGrace time.Duration
 
 	homes   Homes
 	counter Counter
@@ -73,7 +73,7 @@
 type run struct {
 	c       *Coordinator
 	query   *Query
-	work    Work
+	work    QuerySpec
 	results chan arrival
 	cancels []func()
 	sentTo  []ident.HostID
@@ -82,7 +82,7 @@
 	moved    []bool // legs that went to the second home
 	maybe    []bool // of these, legs that may have run at the first
 	started  time.Time
-	times    []LegTime
+	times    []LegTiming
 	ended    atomic.Bool
 }
 
@@ -96,7 +96,7 @@
 
 // Run runs the query and returns its one answer, at the latest at the cut-off
 // time or when ctx ends. Legs that are still under way are cancelled then.
-func (c *Coordinator) Run(ctx context.Context, work Work) *Answer {
+func (c *Coordinator) Run(ctx context.Context, work QuerySpec) *Answer {
 	shards := work.Snapshot.Shards
 	r := &run{
 		c:       c,
@@ -107,7 +107,7 @@
 		moved:   make([]bool, len(shards)),
 		maybe:   make([]bool, len(shards)),
 		started: c.now(),
-		times:   make([]LegTime, len(shards)),
+		times:   make([]LegTiming, len(shards)),
 	}
 	if r.work.Started.IsZero() {
 		r.work.Started = r.started
@@ -131,8 +131,8 @@
 	}
 	r.ended.Store(true)
 	answer := r.query.Answer()
-	if c.LostFor > 0 && mayCrash(answer) {
-		time.AfterFunc(c.LostFor, r.cancelRest)
+	if c.LostLegGrace > 0 && mayCrash(answer) {
+		time.AfterFunc(c.LostLegGrace, r.cancelRest)
 	} else {
 		r.cancelRest()
 	}
@@ -219,7 +219,7 @@
 func (r *run) send(i int, host ident.HostID) {
 	request := r.request(i)
 	if r.maybe[i] {
-		request.After = r.sentTo[i]
+		request.FailedHome = r.sentTo[i]
 	}
 	r.sentTo[i] = host
 	runner, ok := r.c.homes.Runner(host)
@@ -243,21 +243,21 @@
 func (r *run) request(i int) leg.Request {
 	shard := r.work.Snapshot.Shards[i]
 	return leg.Request{
-		Request:     r.work.Request,
-		Service:     shard.Service,
-		Index:       r.work.Index,
-		Shard:       shard.ID,
-		Snapshot:    r.work.Snapshot.Version,
-		Class:       r.work.Class,
-		Caller:      r.work.Caller,
-		Deadline:    r.legDeadline(),
-		Idempotent:  r.work.Idempotent,
-		Fingerprint: r.work.Fingerprint,
-		Body:        r.work.Body,
-		Due:         r.due(),
-		Optional:    r.optional != nil && r.optional[i],
-		MaxServers:  r.work.MaxServers,
-		Forward:     r.work.Forward,
+		Request:      r.work.Request,
+		Service:      shard.Service,
+		Index:        r.work.Index,
+		Shard:        shard.ID,
+		Snapshot:     r.work.Snapshot.Version,
+		Class:        r.work.Class,
+		Caller:       r.work.Caller,
+		Deadline:     r.legDeadline(),
+		Idempotent:   r.work.Idempotent,
+		Fingerprint:  r.work.Fingerprint,
+		Body:         r.work.Body,
+		SoftDeadline: r.due(),
+		Optional:     r.optional != nil && r.optional[i],
+		MaxServers:   r.work.MaxServers,
+		Forward:      r.work.Forward,
 	}
 }
 
@@ -273,7 +273,7 @@
 
 // due is when a leg's result must be there to go into an answer in time.
 func (r *run) due() time.Time {
-	if r.work.Target.IsZero() {
+	if r.work.SoftDeadline.IsZero() {
 		return time.Time{}
 	}
 	return TargetCutOff(r.work.Plan)
@@ -281,9 +281,9 @@
 
 func (r *run) take(a arrival) {
 	r.times[a.position].Time = r.c.now().Sub(r.started)
-	r.times[a.position].Wait = a.result.Wait
-	if len(a.result.Held) > 0 {
-		r.c.learn(r.work.Snapshot.Shards[a.position].Service, r.work.Index, a.result.Held)
+	r.times[a.position].Wait = a.result.QueueTime
+	if len(a.result.HeldSnapshots) > 0 {
+		r.c.learn(r.work.Snapshot.Shards[a.position].Service, r.work.Index, a.result.HeldSnapshots)
 	}
 	if r.failOver(a) {
 		return
@@ -293,17 +293,17 @@
 		// there, so the second home's "not run" does not hold for the leg.
 		a.result.Outcome = result.OutcomeUnknown
 	}
-	r.c.counter.Verdict(r.query.Take(a.result))
+	r.c.counter.Verdict(r.query.AddResult(a.result))
 }
 
 // legTimes completes the times: a leg without a result took at least until now.
-func (r *run) legTimes() []LegTime {
+func (r *run) legTimes() []LegTiming {
 	spent := r.c.now().Sub(r.started)
 	for i := range r.times {
 		t := &r.times[i]
 		t.Service = r.work.Snapshot.Shards[i].Service
 		if t.Time == 0 {
-			*t = LegTime{Service: t.Service, Time: spent, Wait: leg.UnknownWait, Missed: true}
+			*t = LegTiming{Service: t.Service, Time: spent, Wait: leg.UnknownQueueTime, TimedOut: true}
 		}
 	}
 	return r.times
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -45,13 +45,13 @@
 // request's way to this host and the answer's way back are on the caller's clock,
 // and as much as this host may take to write the answer.
 func TargetCutOff(plan Plan) time.Time {
-	way := plan.Way
+	way := plan.CallerRTT
 	if way == 0 {
 		way = usualWay
 	}
-	whole := float64(plan.Target.Sub(plan.Started))
+	whole := float64(plan.SoftDeadline.Sub(plan.Started))
 	reserve := way + writeReserve + time.Duration(writeShare*whole)
-	return plan.Target.Add(-min(reserve, time.Duration(mostTargetShare*whole)))
+	return plan.SoftDeadline.Add(-min(reserve, time.Duration(mostTargetShare*whole)))
 }
 
 // CutOff is when a query answers with what it has, so that the answer is with
--- a/scatter/greatest.go
+++ b/scatter/greatest.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Greatest returns the k greatest records of the parts, falling, in one piece.
+// TopK returns the k greatest records of the parts, falling, in one piece.
 // Parts hold records of size bytes in no order; a shorter rest is no record.
 // Equal records all count.
-func Greatest(parts [][]byte, size, k int) []byte {
+func TopK(parts [][]byte, size, k int) []byte {
 	best := make([][]byte, 0, k+1)
 	for _, part := range parts {
 		for ; len(part) >= size; part = part[size:] {
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -39,14 +39,14 @@
 	Snapshot *snapshot.Snapshot
 	Started  time.Time // when the request came
 	Deadline time.Time
-	// Target is when the answer loses most of its worth; zero: at the deadline.
-	Target time.Time
-	// Way is the round trip between the caller and this host; 0: not known.
-	Way time.Duration
-	// LeastCoverage, 0 to 1, below which there is no answer.
-	LeastCoverage float64
-	Prefer        bundle.Prefer
-	Idempotent    bool
+	// SoftDeadline is when the answer loses most of its worth; zero: at the deadline.
+	SoftDeadline time.Time
+	// CallerRTT is the round trip between the caller and this host; 0: not known.
+	CallerRTT time.Duration
+	// MinCoverage, 0 to 1, below which there is no answer.
+	MinCoverage float64
+	Prefer      bundle.Prefer
+	Idempotent  bool
 	// Restartable ends the query as soon as a replica lacks the snapshot, so
 	// that the whole of it starts again on another one.
 	Restartable bool
@@ -95,10 +95,10 @@
 // Answer returns the terminal answer, or nil while the query runs.
 func (q *Query) Answer() *Answer { return q.answer }
 
-// Take takes in one leg's result. A reply counts only if it echoes this
+// AddResult takes in one leg's result. A reply counts only if it echoes this
 // request and one of its open shards, its body is whole, and it was made from
 // the pinned snapshot; anything else is dropped and named by the verdict.
-func (q *Query) Take(r leg.Result) Verdict {
+func (q *Query) AddResult(r leg.Result) Verdict {
 	i, known := q.position[r.Shard]
 	if r.Request != q.plan.Request || !known {
 		return VerdictCrossed
@@ -129,7 +129,7 @@
 
 func (q *Query) judge(r leg.Result) Verdict {
 	switch {
-	case !r.Usable():
+	case !r.HasAnswer():
 		return VerdictFailed
 	case r.Snapshot != q.plan.Snapshot.Version:
 		return VerdictMixed
@@ -164,7 +164,7 @@
 		q.Expire()
 		return
 	}
-	q.late = !q.plan.Target.IsZero() && !now.Before(TargetCutOff(q.plan))
+	q.late = !q.plan.SoftDeadline.IsZero() && !now.Before(TargetCutOff(q.plan))
 	if q.late && q.covers(q.have) {
 		q.Expire()
 	}
@@ -188,7 +188,7 @@
 // NextCutOff is when CutOff is due next.
 func (q *Query) NextCutOff() time.Time {
 	final := FinalCutOff(q.plan)
-	if q.late || q.plan.Target.IsZero() {
+	if q.late || q.plan.SoftDeadline.IsZero() {
 		return final
 	}
 	if target := TargetCutOff(q.plan); target.Before(final) {
@@ -258,5 +258,5 @@
 }
 
 func (q *Query) covers(shards int) bool {
-	return shards > 0 && float64(shards) >= q.plan.LeastCoverage*float64(len(q.shards))
+	return shards > 0 && float64(shards) >= q.plan.MinCoverage*float64(len(q.shards))
 }
--- a/servers.go
+++ b/servers.go
@@ -33,7 +33,7 @@
 	now          func() time.Time
 
 	events  chan func()
-	listing *catalog.Listing
+	listing *catalog.ServerList
 	rows    []metastore.ListedHost // in force
 	leaving *draining.Table
 }
@@ -53,8 +53,8 @@
 // Servers implements catalog.Sink.
 func (s *servers) Servers(rows []metastore.ListedHost) {
 	s.events <- func() {
-		s.rows = s.listing.Read(s.now(), rows)
-		for _, life := range s.leaving.HostList(s.now(), rows) {
+		s.rows = s.listing.Update(s.now(), rows)
+		for _, life := range s.leaving.ApplyHostList(s.now(), rows) {
 			s.left(life, "host list")
 		}
 		s.publish()
@@ -78,7 +78,7 @@
 	if end.Outcome == result.OutcomeRefused {
 		signal = draining.SignalRefused
 	}
-	life := draining.Life{Server: server.Name, Incarnation: end.Reply.Incarnation}
+	life := draining.Instance{Server: server.Name, Incarnation: end.Reply.Incarnation}
 	if life.Incarnation == 0 {
 		// The refusal names no life; it came from the one that was called.
 		life.Incarnation = server.Incarnation
@@ -92,10 +92,10 @@
 }
 
 // absorb takes in what another entry host learned.
-func (s *servers) absorb(news member.BackendNews) {
-	life := draining.Life{Server: news.Server, Incarnation: news.Incarnation}
+func (s *servers) absorb(news member.BackendUpdate) {
+	life := draining.Instance{Server: news.Server, Incarnation: news.Incarnation}
 	s.post(func() {
-		if s.leaving.Absorb(s.now(), life) {
+		if s.leaving.MarkLeft(s.now(), life) {
 			s.publish()
 		}
 	})
@@ -111,15 +111,15 @@
 }
 
 // left shares a life that left with the other entry hosts.
-func (s *servers) left(life draining.Life, source string) {
-	s.members.AnnounceBackend(member.BackendNews{Server: life.Server, Incarnation: life.Incarnation})
+func (s *servers) left(life draining.Instance, source string) {
+	s.members.AnnounceBackend(member.BackendUpdate{Server: life.Server, Incarnation: life.Incarnation})
 	s.log.Info("backend server leaves", zap.String("server", life.Server), zap.Uint64("incarnation", life.Incarnation), zap.String("source", source))
 }
 
 // publish hands the servers to the homes and to the placement of homes.
 func (s *servers) publish() {
 	all := make([]backend.Server, 0, len(s.rows))
-	known := make(map[string][]homeserver.Known)
+	known := make(map[string][]homeserver.KnownServer)
 	for _, row := range s.rows {
 		server := backend.Server{
 			Name:        row.Name,
@@ -130,11 +130,11 @@
 			Incarnation: row.Incarnation,
 		}
 		all = append(all, server)
-		life := draining.Life{Server: row.Name, Incarnation: row.Incarnation}
-		known[row.Service] = append(known[row.Service], homeserver.Known{
+		life := draining.Instance{Server: row.Name, Incarnation: row.Incarnation}
+		known[row.Service] = append(known[row.Service], homeserver.KnownServer{
 			Server:   server,
 			SameZone: row.Region == s.region && row.Zone == s.zone,
-			Leaving:  !s.leaving.AllowedLife(life),
+			Leaving:  !s.leaving.AllowedInstance(life),
 		})
 	}
 	services := place.Services(all)
--- a/snapshot/pins.go
+++ b/snapshot/pins.go
@@ -52,8 +52,8 @@
 	return view.pins[index]
 }
 
-// Learn notes what a backend server of the service says that it holds.
-func (p *Pins) Learn(service, index string, held []Version) {
+// RecordHeld notes what a backend server of the service says that it holds.
+func (p *Pins) RecordHeld(service, index string, held []Version) {
 	if !p.news(service, index, held) {
 		return
 	}
@@ -63,8 +63,8 @@
 	p.rebuild()
 }
 
-// Lacked notes that a service's replicas refused a version they lack.
-func (p *Pins) Lacked(service, index string, version Version) {
+// RecordMissing notes that a service's replicas refused a version they lack.
+func (p *Pins) RecordMissing(service, index string, version Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tracker.Lacked(p.now(), service, index, version)
--- a/stop.go
+++ b/stop.go
@@ -77,7 +77,7 @@
 }
 
 // busy counts the callers' requests and the peers' legs in flight.
-func (h *Host) busy() int { return int(h.inFlight.Load()) + h.parts.Local.Open() }
+func (h *Host) busy() int { return int(h.inFlight.Load()) + h.parts.Local.OpenLegs() }
 
 func serve(server *http.Server, listener net.Listener, config *tls.Config) error {
 	var err error
--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -280,14 +280,14 @@
 func (b *Bed) Documents() bundle.Documents { return b.config.Documents }
 
 // Submit signs and submits documents as the next generation.
-func (b *Bed) Submit(docs bundle.Documents, reason string) (rollout.Receipt, error) {
+func (b *Bed) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
 	change, err := rollout.Propose(b.ctx, b.Platform, docs, bundle.Proposal{
 		Author:  b.keys[0].Name,
 		Reason:  reason,
 		Created: time.Now(),
 	})
 	if err != nil {
-		return rollout.Receipt{}, err
+		return rollout.SubmitResult{}, err
 	}
 	for _, key := range b.keys {
 		change = change.Sign(key)
