--- a/home/attempt_end.go
+++ b/home/attempt_end.go
@@ -60,7 +60,7 @@
 	if !completed && a.hedge {
 		return
 	}
-	c.shared.add(spent, h.cfg.HedgeQuantile)
+	c.sharedLatencies.add(spent, h.cfg.HedgeQuantile)
 	c.latencies.add(spent)
 	c.samplesSinceRefresh++
 	if c.samplesSinceRefresh >= refreshSamples || c.ownQuantiles.slow == 0 {
--- a/home/class.go
+++ b/home/class.go
@@ -37,7 +37,7 @@
 	latencies           histogram
 	ownQuantiles        quantiles // of latencies, refreshed every refreshSamples samples
 	samplesSinceRefresh int
-	shared              *classLatencies // nil if nothing is shared
+	sharedLatencies     *classLatencies // nil if nothing is shared
 }
 
 // quantiles returns the class's own quantiles, or the host-wide ones while too few
@@ -46,7 +46,7 @@
 	if c.ownQuantiles.slow > 0 {
 		return c.ownQuantiles
 	}
-	return c.shared.quantiles()
+	return c.sharedLatencies.quantiles()
 }
 
 func (c *class) weight() float64 { return max(c.spec.ReservedShare, minClassWeight) }
--- a/home/home.go
+++ b/home/home.go
@@ -29,7 +29,7 @@
 	Idempotent  bool
 	Fingerprint uint64
 	Bytes       int // size of the body, counted against Config.MaxQueueBytes
-	// SoftDeadline is the soft deadline, after which the answer has lost most of its value; zero
+	// SoftDeadline is the time after which the answer has lost most of its value; zero
 	// means the deadline. Waiting legs are ordered by it, and a leg that can't meet it
 	// any more goes behind those that can.
 	SoftDeadline time.Time
@@ -99,8 +99,8 @@
 	Warmup WarmupLimit
 }
 
-// WarmupLimit limits what this home sends to a server while it is cold. The zero value is no
-// limit.
+// WarmupLimit limits what this home sends to a server while it is cold. The zero value
+// is no limit.
 type WarmupLimit struct {
 	Duration  time.Duration // time for which a server counts as cold after its start; 0 means no limit
 	PerSecond int           // attempts in any second; 0 means none, another host warms the server
@@ -111,8 +111,8 @@
 	Name          string
 	ReservedShare float64
 	MaxQueue      int
-	// DefaultHedgeDelay is the hedge delay used until the class's service times are known; 0
-	// disables hedging until then.
+	// DefaultHedgeDelay is the hedge delay used until the class's service times are
+	// known; 0 disables hedging until then.
 	DefaultHedgeDelay time.Duration
 }
 
@@ -128,29 +128,29 @@
 	// HedgeBurst and RetryBurst are the burst sizes of the hedge and retry budgets; 0
 	// means defaultHedgeBurst and defaultRetryBurst.
 	HedgeBurst, RetryBurst float64
-	// HedgeInitialFill and RetryStart are the fractions of the bursts available at the start,
-	// from 0 to 1.
+	// HedgeInitialFill and RetryInitialFill are the fractions of the bursts available
+	// at the start, from 0 to 1.
 	HedgeInitialFill, RetryInitialFill float64
-	// HedgesPerSecond and RetryRate are the hedges and retries per second that are allowed
-	// whatever the load.
+	// HedgesPerSecond and RetriesPerSecond are the hedges and retries per second that
+	// are allowed whatever the load.
 	HedgesPerSecond, RetriesPerSecond float64
 	// ChargeRefusals charges the retry budget also for an attempt after a refusal, for
 	// services that count every request they receive.
 	ChargeRefusals bool
 	// SlowStartReplies is the number of answers after which a new server gets its full
-	// concurrency; 0 means defaultSlowStartAnswers.
+	// concurrency; 0 means defaultSlowStartReplies.
 	SlowStartReplies int
-	// ReserveReportedLoad leaves the slots that the servers report as used by other hosts to
-	// those, for services that several hosts send to at once. At least one slot per
-	// server stays usable, so that no host is starved.
+	// ReserveReportedLoad leaves the slots that the servers report as used by other
+	// hosts to those, for services that several hosts send to at once. At least one
+	// slot per server stays usable, so that no host is starved.
 	ReserveReportedLoad bool
 	// AvoidStalled sends nothing to a server that seems stalled while another is
 	// healthy, and hedges the attempts that run on it.
 	AvoidStalled bool
-	// LatencyStats holds the service times observed by all homes of this host; nil means that
-	// each home uses only its own.
+	// LatencyStats holds the service times observed by all homes of this host; nil
+	// means that each home uses only its own.
 	LatencyStats *LatencyStats
-	// CrossZonePenaltySeconds is added to the expected finish time on a server of another availability
-	// zone, in seconds; 0 means defaultCrossZoneSeconds.
+	// CrossZonePenaltySeconds is added to the expected finish time on a server of
+	// another availability zone, in seconds; 0 means defaultCrossZonePenaltySeconds.
 	CrossZonePenaltySeconds float64
 }
--- a/home/latencies.go
+++ b/home/latencies.go
@@ -39,7 +39,7 @@
 	return q, true
 }
 
-// NewLatencyStats returns an empty Shared.
+// NewLatencyStats returns an empty LatencyStats.
 func NewLatencyStats() *LatencyStats { return &LatencyStats{classes: make(map[string]*classLatencies)} }
 
 // forClass returns the service times of the named class.
--- a/home/place.go
+++ b/home/place.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// defaultCrossZoneSeconds is added to the expected finish time on a server in
+	// defaultCrossZonePenaltySeconds is added to the expected finish time on a server in
 	// another zone: about one round trip.
-	defaultCrossZoneSeconds = 0.001
+	defaultCrossZonePenaltySeconds = 0.001
 	// faultPenaltySeconds is added to the expected finish time in proportion to the
 	// fault rate, so that a server that loses answers gives way to one in another zone.
 	faultPenaltySeconds = 0.1
--- a/home/reconfigure.go
+++ b/home/reconfigure.go
@@ -13,7 +13,7 @@
 	h.moveServiceTimes(newIndex, cfg)
 	for _, s := range h.servers {
 		s.slots = slotsOf(s.spec, &cfg)
-		s.slowStartAnswers, s.leavesReportedSlots = cfg.SlowStartReplies, cfg.ReserveReportedLoad
+		s.slowStartReplies, s.reserveReportedLoad = cfg.SlowStartReplies, cfg.ReserveReportedLoad
 	}
 	h.hedgeBudget.SetLimits(cfg.HedgeBudget, cfg.HedgeBurst)
 	h.retryBudget.SetLimits(cfg.RetryBudget, cfg.RetryBurst)
@@ -40,7 +40,7 @@
 	old := h.classes
 	h.classes = make([]class, len(cfg.Classes))
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.LatencyStats.forClass(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, sharedLatencies: cfg.LatencyStats.forClass(cfg.Classes[i].Name)}
 	}
 	for i := range old {
 		c := &h.classes[newIndex[i]]
@@ -71,7 +71,7 @@
 // keepStats carries the measurements over to the class of the same name.
 func keepStats(next, old *class) class {
 	kept := *old
-	kept.spec, kept.index, kept.shared = next.spec, next.index, next.shared
+	kept.spec, kept.index, kept.sharedLatencies = next.spec, next.index, next.sharedLatencies
 	kept.running = 0
 	kept.waiting, kept.hedges, kept.hedgeCandidates = queue{}, queue{}, attemptList{}
 	return kept
--- a/home/server.go
+++ b/home/server.go
@@ -14,9 +14,9 @@
 	// answersPerRegainedSlot is the number of answers after which a slot that was given
 	// up after a refusal is used again.
 	answersPerRegainedSlot = 24
-	// defaultSlowStartAnswers is the number of answers after which a new server gets
+	// defaultSlowStartReplies is the number of answers after which a new server gets
 	// its full concurrency.
-	defaultSlowStartAnswers = 16
+	defaultSlowStartReplies = 16
 	// minPause and maxPause bound the pause after a refusal. maxPause is how late a
 	// recovered server may be noticed.
 	minPause = time.Millisecond
@@ -38,8 +38,8 @@
 
 	draining            bool
 	warm                bool
-	slowStartAnswers    int
-	leavesReportedSlots bool
+	slowStartReplies    int
+	reserveReportedLoad bool
 	answers             int // since the start of the incarnation
 	refusals            int // consecutive
 	slotLimit           int // slots usable by this home after a refusal; 0 means all
@@ -71,8 +71,8 @@
 		serviceTimes: make([]meanTime, len(cfg.Classes)),
 		warm:         warm,
 
-		slowStartAnswers:    cfg.SlowStartReplies,
-		leavesReportedSlots: cfg.ReserveReportedLoad,
+		slowStartReplies:    cfg.SlowStartReplies,
+		reserveReportedLoad: cfg.ReserveReportedLoad,
 		refusalRate:         failureRate{weight: refusalWeight},
 		faultRate:           failureRate{weight: faultWeight},
 
@@ -123,7 +123,7 @@
 	if s.warm || !anyWarm {
 		return limit
 	}
-	return min(limit, 1+s.answers*(s.slots-1)/s.slowStartAnswers)
+	return min(limit, 1+s.answers*(s.slots-1)/s.slowStartReplies)
 }
 
 // reduceSlots lowers the slots used by this home to the number in use when the server
@@ -181,7 +181,7 @@
 	if limit == s.slots && !long {
 		limit += s.pipeline.allowed(now)
 	}
-	if s.leavesReportedSlots {
+	if s.reserveReportedLoad {
 		limit = max(1, limit-s.otherRequests(now))
 	}
 	return limit
@@ -222,7 +222,7 @@
 func (s *server) recordAnswer(now time.Time) {
 	s.refusalRate.record(now, false)
 	s.answers++
-	if s.answers >= s.slowStartAnswers {
+	if s.answers >= s.slowStartReplies {
 		s.warm = true
 	}
 	s.regainSlot()
--- a/home/state.go
+++ b/home/state.go
@@ -28,7 +28,7 @@
 	queuedBytes int       // total size of waiting bodies
 	lastAnswer  time.Time // last answer of any server, or the first SetServers
 
-	pendingChanges []ServerChange // not yet returned by TakeChanges
+	pendingChanges []ServerChange // not yet returned by DrainChanges
 	lastDispatch   time.Time
 
 	// set by updateTotals
@@ -50,10 +50,10 @@
 		c.RetryInitialFill = 1 // allows retries before any leg has earned one
 	}
 	if c.SlowStartReplies == 0 {
-		c.SlowStartReplies = defaultSlowStartAnswers
+		c.SlowStartReplies = defaultSlowStartReplies
 	}
 	if c.CrossZonePenaltySeconds == 0 {
-		c.CrossZonePenaltySeconds = defaultCrossZoneSeconds
+		c.CrossZonePenaltySeconds = defaultCrossZonePenaltySeconds
 	}
 	return c
 }
@@ -73,7 +73,7 @@
 	}
 	h.applyBudgetRates()
 	for i := range h.classes {
-		h.classes[i] = class{spec: cfg.Classes[i], index: i, shared: cfg.LatencyStats.forClass(cfg.Classes[i].Name)}
+		h.classes[i] = class{spec: cfg.Classes[i], index: i, sharedLatencies: cfg.LatencyStats.forClass(cfg.Classes[i].Name)}
 	}
 	return h
 }
