--- a/eligible/eligible.go
+++ b/eligible/eligible.go
@@ -5,45 +5,42 @@
 	"time"
 )
 
-// Reason says why a server may not get a request now.
+// Reason is why a server may not get a request now.
 type Reason uint8
 
-// The reasons, in the order in which they are looked at.
+// The reasons, in the order in which they are checked.
 const (
-	// Allowed: it may.
+	// Allowed means that the server may get the request.
 	Allowed Reason = iota
-	// EvacuationsUnknown: which zones are evacuated is not known yet.
+	// EvacuationsUnknown: the evacuated zones aren't known yet.
 	EvacuationsUnknown
-	// ZoneEvacuated: the operator wants nothing sent to the server's zone.
+	// ZoneEvacuated: the operator has evacuated the server's zone.
 	ZoneEvacuated
-	// OtherRegion: the request's route is bound to other regions.
+	// OtherRegion: the request's route is restricted to other regions.
 	OtherRegion
 	// Cold: the server is cold, and this host is not the one that warms it.
 	Cold
 )
 
-// String is the reason in logs and metrics.
+// String returns the name used in logs and metrics.
 func (r Reason) String() string {
 	return [...]string{"allowed", "evacuations_not_known", "zone_evacuated", "other_region", "cold"}[r]
 }
 
-// Rules are what holds for all servers at one moment. They are immutable.
+// Rules are the rules for all servers at one moment. They are immutable.
 type Rules struct {
 	Evacuations *Evacuations
-	// Regions is the region of each availability zone.
+	// Regions maps availability zones to their regions.
 	Regions map[string]string
-	// Cold holds until when servers whose load is bounded while they are cold are so,
-	// by name.
+	// Cold holds the end of the cold period of each cold server with a warm-up limit,
+	// by server name.
 	Cold map[string]time.Time
 }
 
-// CheckZone decides whether a request that is bound to the regions may go to servers of the
-// availability zone; no regions: any.
-//
-// Load: every way to a server (a first attempt, a hedge, a retry, a leg of another host,
-// one taken over) asks at the moment of sending. Harm prevented: one of them was queued,
-// or chosen by a host that knows less, before the operator's word came, and reaches a
-// zone that is being taken down, or a region that must not see the request.
+// CheckZone decides whether a request restricted to the regions may go to servers of the
+// availability zone; no regions means any. It is checked whenever an attempt is sent,
+// since the request may have been queued, or the server chosen by another host, before
+// an evacuation was known there.
 func (r *Rules) CheckZone(zone string, regions []string) Reason {
 	switch {
 	case r == nil || r.Evacuations == nil:
@@ -57,9 +54,9 @@
 	}
 }
 
-// CheckForwarded decides whether this host may pass another host's request on to the server.
-// The other host does not count what this one sends to a cold server, so nothing goes
-// there.
+// CheckForwarded decides whether this host may forward another host's request to the
+// server. Cold servers get none, since the other host doesn't count what this host
+// sends them.
 func (r *Rules) CheckForwarded(now time.Time, server, zone string, regions []string) Reason {
 	if reason := r.CheckZone(zone, regions); reason != Allowed {
 		return reason
@@ -70,7 +67,7 @@
 	return Allowed
 }
 
-// InRegions reports whether the region is one of those allowed; none named: any is.
+// InRegions reports whether the region is allowed; an empty list allows any.
 func InRegions(allowed []string, region string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, region)
 }
--- a/eligible/evacuation.go
+++ b/eligible/evacuation.go
@@ -1,6 +1,6 @@
-// Package eligible owns the rules on which backend servers may get a request
-// now: availability zones that the operator has evacuated, regions that a route
-// is bound to, and servers that are cold. It is pure: time is passed in.
+// Package eligible decides which backend servers may get a request now, considering
+// evacuated availability zones, the regions that a route is restricted to, and cold
+// servers. It reads no clock: the time is passed in.
 package eligible
 
 import (
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// Evacuations tells which availability zones the operator has taken out of use.
-// It is immutable; nil: none is known yet, so that no server may get anything.
+// Evacuations are the availability zones taken out of use by the operator. The value is
+// immutable; nil means that they aren't known yet, so that no server may get a request.
 type Evacuations struct {
 	active map[string]bool
-	// returned holds when a zone was heard to be in use again.
-	returned map[string]time.Time
+	// restored holds the times at which evacuations ended.
+	restored map[string]time.Time
 }
 
-// ZoneChange is a zone that was evacuated or taken back into use.
+// ZoneChange is the start or end of a zone's evacuation.
 type ZoneChange struct {
 	Zone      string
 	Evacuated bool
 }
 
-// Update is what holds once exactly these zones are evacuated, and what has changed.
+// Update returns the state in which exactly these zones are evacuated, and the changes to
+// it.
 func (e *Evacuations) Update(now time.Time, zones []string) (*Evacuations, []ZoneChange) {
-	next := &Evacuations{active: make(map[string]bool), returned: make(map[string]time.Time)}
+	next := &Evacuations{active: make(map[string]bool), restored: make(map[string]time.Time)}
 	if e != nil {
-		maps.Copy(next.returned, e.returned)
+		maps.Copy(next.restored, e.restored)
 	}
 	var changes []ZoneChange
 	for _, zone := range zones {
 		next.active[zone] = true
-		delete(next.returned, zone)
+		delete(next.restored, zone)
 		if !e.Active(zone) {
 			changes = append(changes, ZoneChange{Zone: zone, Evacuated: true})
 		}
 	}
 	for _, zone := range e.Zones() {
 		if !next.active[zone] {
-			next.returned[zone] = now
+			next.restored[zone] = now
 			changes = append(changes, ZoneChange{Zone: zone})
 		}
 	}
@@ -49,7 +50,7 @@
 // Active reports whether the zone is evacuated.
 func (e *Evacuations) Active(zone string) bool { return e != nil && e.active[zone] }
 
-// Zones lists the evacuated zones by name.
+// Zones returns the evacuated zones, sorted by name.
 func (e *Evacuations) Zones() []string {
 	if e == nil {
 		return nil
@@ -57,18 +58,14 @@
 	return slices.Sorted(maps.Keys(e.active))
 }
 
-// ColdUntil is until when servers of the zone count as cold because it has just been
-// taken back into use; zero: they don't.
-//
-// Failure: the servers of an evacuated zone were restarted meanwhile, and the word of
-// that is later than the end of the evacuation. It shows as full load on servers that
-// crash under it. The guard holds because they count as cold for as long as a server
-// that starts at that moment would be.
+// ColdUntil returns until when the zone's servers count as cold after the end of an
+// evacuation; zero if they don't. They may have been restarted meanwhile, and their new
+// incarnations may not be known here yet.
 func (e *Evacuations) ColdUntil(zone string, warmup time.Duration) time.Time {
 	if e == nil {
 		return time.Time{}
 	}
-	at, known := e.returned[zone]
+	at, known := e.restored[zone]
 	if !known {
 		return time.Time{}
 	}
--- a/eligible/warmup.go
+++ b/eligible/warmup.go
@@ -2,112 +2,104 @@
 
 import "time"
 
-// Warmup is what the backend servers of a service bear while they are cold.
+// Warmup describes how much load the cold backend servers of a service can take.
 type Warmup struct {
-	// Duration is how long a server stays cold after its start.
+	// Duration is how long a server counts as cold after its start.
 	Duration time.Duration
-	// PerSecond is how many requests a cold server bears a second; 0: no bound.
+	// PerSecond is the request rate that a cold server can take; 0 means no limit.
 	PerSecond float64
 }
 
-// Bounded reports whether the load of cold servers is bounded.
+// Bounded reports whether the load of cold servers is limited.
 func (w Warmup) Bounded() bool { return w.PerSecond > 0 && w.Duration > 0 }
 
-// WarmupTolerance are how far all hosts together may go beyond Warmup.PerSecond.
+// WarmupTolerance is how far all hosts together may exceed Warmup.PerSecond.
 type WarmupTolerance struct {
-	Overshoot float64 // factor
-	Slack     float64 // requests in a second
+	Overshoot float64 // factor; below 1 counts as 1
+	Slack     float64 // additional requests per second
 }
 
-// warmingHosts is by how many hosts the bound is divided: the one that warms a server,
-// and one that still believes to be it, since it is about to be taken for lost.
-const warmingHosts = 2
-
-// PerHostRate is how many requests the host that warms a server may send it in any second.
-//
-// Load: a server comes back cold while hundreds of hosts want to use it. Harm prevented:
-// each sends a little, the sum is several times what the server bears, and it crashes
-// again. A part for each host would be below one request, and hosts hear of each other's
-// sendings too late, so one host sends and the others don't. Limit: half of the bound,
-// so that two hosts that both believe to be the one keep it.
-func (b WarmupTolerance) PerHostRate(w Warmup) int {
-	return int((w.PerSecond*max(b.Overshoot, 1) + b.Slack) / warmingHosts)
+// maxWarmingHosts is the number of hosts that may warm a server at once: the current
+// one, and a previous one that hasn't noticed the change yet.
+const maxWarmingHosts = 2
+
+// PerHostRate returns how many requests the host that warms a server may send it in any
+// second. Only one host warms a server, since the limit divided by all hosts would be
+// below one request each.
+func (t WarmupTolerance) PerHostRate(w Warmup) int {
+	return int((w.PerSecond*max(t.Overshoot, 1) + t.Slack) / maxWarmingHosts)
 }
 
-// handover is how long a host waits before it warms servers after its turn has begun.
-//
-// Failure: the host that warmed a server before is cut off, and what it has sent in the
-// last second, or still sends until it notices, adds to what the next one sends. The
-// guard holds because a host that hears no peer for contactWait stops, and the next one
-// waits for that and the second that is counted.
+// handoverDelay is how long a host waits before it starts to warm servers: long enough
+// for the previous host to notice that it is cut off, plus the second over which
+// requests are counted.
 const (
-	handover    = contactWait + time.Second
-	contactWait = 1200 * time.Millisecond
+	handoverDelay  = contactTimeout + time.Second
+	contactTimeout = 1200 * time.Millisecond
 )
 
-// PeerContact is what a host knows of its peers.
+// PeerContact is what a host knows of the reachability of its peers.
 type PeerContact struct {
-	// Alone: no other host is known.
+	// Alone is set if no other host is known.
 	Alone bool
-	// LastContact is when a peer last answered; zero: never.
+	// LastContact is when a peer last answered; zero means never.
 	LastContact time.Time
 }
 
-// WarmupRole is since when it has been this host's turn to warm servers; zero: it is not.
+// WarmupRole is whether, and since when, this host is the one to warm servers.
 type WarmupRole struct{ since time.Time }
 
-// SetAssigned notes whether it is this host's turn now.
-func (t *WarmupRole) SetAssigned(now time.Time, mine bool) {
+// SetAssigned records whether this host is the one to warm servers.
+func (r *WarmupRole) SetAssigned(now time.Time, assigned bool) {
 	switch {
-	case !mine:
-		t.since = time.Time{}
-	case t.since.IsZero():
-		t.since = now
+	case !assigned:
+		r.since = time.Time{}
+	case r.since.IsZero():
+		r.since = now
 	}
 }
 
-// Reset notes that what the turn is for has changed.
-func (t *WarmupRole) Reset() { t.since = time.Time{} }
+// Reset makes the handover delay start anew, for a change of the servers to warm.
+func (r *WarmupRole) Reset() { r.since = time.Time{} }
 
 // MayWarm reports whether this host may warm servers now.
-func (t *WarmupRole) MayWarm(now time.Time, contact PeerContact) bool {
-	if t.since.IsZero() || now.Sub(t.since) < handover {
+func (r *WarmupRole) MayWarm(now time.Time, contact PeerContact) bool {
+	if r.since.IsZero() || now.Sub(r.since) < handoverDelay {
 		return false
 	}
 	if contact.Alone {
-		return contact.LastContact.IsZero() // one that has lost all peers is cut off
+		return contact.LastContact.IsZero() // a host that has lost all peers is cut off
 	}
-	return now.Sub(contact.LastContact) <= contactWait
+	return now.Sub(contact.LastContact) <= contactTimeout
 }
 
-// Starts remembers when requests were sent to a server, as far back as a bound on a
-// second needs it. The zero value is ready to use.
+// SlidingWindow limits the number of requests to a server in any second. The zero value
+// is ready to use.
 type Starts struct {
-	at []time.Time // ascending, at most the bound
+	sent []time.Time // send times, ascending, at most limit many
 }
 
-// startsWindow is the span in which starts are counted: the second that the server is
-// judged by, and what timers and links may move two sendings against each other.
-const startsWindow = 1100 * time.Millisecond
+// slidingWindow is one second plus a margin for the jitter of timers and links.
+const slidingWindow = 1100 * time.Millisecond
 
-// Note notes a start under the bound.
-func (s *Starts) Note(now time.Time, bound int) {
-	s.at = append(s.at, now)
-	if extra := len(s.at) - max(bound, 1); extra > 0 {
-		s.at = append(s.at[:0], s.at[extra:]...)
+// Record adds a request.
+func (w *Starts) Note(now time.Time, limit int) {
+	w.sent = append(w.sent, now)
+	if extra := len(w.sent) - max(limit, 1); extra > 0 {
+		w.sent = append(w.sent[:0], w.sent[extra:]...)
 	}
 }
 
-// NextAt is when one more start keeps the bound; the zero time: at once. A bound of 0
-// is never kept; see Allows.
-func (s *Starts) NextAt(bound int) time.Time {
-	if len(s.at) < bound || bound == 0 {
+// NextAllowed returns when one more request keeps the limit; the zero time means at
+// once. It isn't meaningful for a limit of 0.
+func (w *Starts) NextAt(limit int) time.Time {
+	if len(w.sent) < limit || limit == 0 {
 		return time.Time{}
 	}
-	return s.at[len(s.at)-bound].Add(startsWindow)
+	return w.sent[len(w.sent)-limit].Add(slidingWindow)
 }
 
-// Allows reports whether one more start now keeps the bound.
-func (s *Starts) Allows(now time.Time, bound int) bool {
-	return bound > 0 && !now.Before(s.NextAt(bound))
+// Allows reports whether one more request now keeps the limit.
+func (w *Starts) Allows(now time.Time, limit int) bool {
+	return limit > 0 && !now.Before(w.NextAt(limit))
 }
