--- a/place/cache.go
+++ b/place/cache.go
@@ -8,29 +8,28 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// Cache keeps the Homes of the latest view. Views are published often, for
-// load and liveness; homes change only with the set of serving hosts or with
-// the services, so most views cost a pass over the hosts and no placement.
-// It is safe for concurrent use.
+// Cache keeps the Homes of the latest view. Most new views change only load or
+// liveness; the placement is recomputed only if the set of serving hosts or the
+// services changed. It is safe for concurrent use.
 type Cache struct {
-	latest atomic.Pointer[cached]
+	latest atomic.Pointer[cacheEntry]
 }
 
-type cached struct {
+type cacheEntry struct {
 	view     *member.View
 	services []Service
 	serving  uint64
 	homes    *Homes
 }
 
-// Homes returns the placement for the view and the services. The services
-// must not be changed afterwards: a new set comes in a new slice.
+// Homes returns the placement for the view and the services. The slice of services must
+// not be modified afterwards.
 func (c *Cache) Homes(view *member.View, services []Service) *Homes {
 	old := c.latest.Load()
 	if old != nil && old.view == view && sameSlice(old.services, services) {
 		return old.homes
 	}
-	next := &cached{view: view, services: services, serving: servingHash(view)}
+	next := &cacheEntry{view: view, services: services, serving: servingHash(view)}
 	if old != nil && old.serving == next.serving && sameSlice(old.services, services) {
 		next.homes = old.homes
 	} else {
@@ -44,7 +43,7 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// servingHash changes whenever the set of serving hosts or a host's place does.
+// servingHash is a hash of the serving hosts and their zones.
 func servingHash(view *member.View) uint64 {
 	digest := xxhash.New()
 	for i := range view.Hosts {
--- a/place/homes.go
+++ b/place/homes.go
@@ -1,9 +1,8 @@
-// Package place decides which entry host is the home of each service: the one
-// that holds most connections to the service's backend servers, counts their
-// slots and keeps their queue. The decision is a pure function of the
-// membership view and the services, so hosts with the same view agree without
-// a message between them. While views differ two hosts may both act as a home;
-// that over-commits the backend servers for a moment, and they shed.
+// Package place decides which entry host is the home of each service. The decision is a
+// pure function of the membership view and the services, so hosts with the same view
+// agree without communication. While views differ, two hosts may both act as the home
+// of a service; they overcommit its backend servers for a moment, and the servers shed
+// the excess.
 package place
 
 import (
@@ -18,13 +17,10 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// loadBound is how far above the mean number of services one host may be.
-//
-// Load: 50 services over 7 hosts, where plain rendezvous hashing gives the
-// busiest host 1.7 times the mean. Harm prevented: that host's processor and
-// connections saturate first and set the tail of every query. Reason for 1.25:
-// a lower bound makes more services change home when a host comes or goes.
-const loadBound = 1.25
+// maxLoadRatio limits the number of services of one host relative to the mean. Without
+// a limit rendezvous hashing overloads some hosts; a lower one moves more services when
+// a host joins or leaves.
+const maxLoadRatio = 1.25
 
 // Location is an availability zone of a region.
 type Location struct {
@@ -32,7 +28,7 @@
 	Zone   string
 }
 
-// Service is a service and the availability zones of its backend servers.
+// Service is a service with the availability zones of its backend servers.
 type Service struct {
 	Name      string
 	Locations []Location
@@ -62,11 +58,11 @@
 
 // Homes maps services to entry hosts. It is immutable.
 type Homes struct {
-	byService map[string]pair
+	byService map[string]assignment
 }
 
-type pair struct {
-	first, second ident.HostID
+type assignment struct {
+	home, fallback ident.HostID
 }
 
 // New places every service on the serving hosts of the view. The order of
@@ -75,38 +71,37 @@
 	return newHomes(newHostIndex(view), services)
 }
 
-// Lookup returns the home of the service and the host that takes over when the
-// home is lost. The second is in another availability zone than the first
-// where there is one, so that losing a zone leaves a host to ask. Both are
-// empty for an unknown service, the second also with one serving host.
-func (h *Homes) Lookup(service string) (first, second ident.HostID) {
-	p := h.byService[service]
-	return p.first, p.second
+// Lookup returns the home of the service and the host that takes over when the home is
+// lost, in another availability zone if possible. Both are empty for an unknown
+// service; the second is also empty if only one host is serving.
+func (h *Homes) Lookup(service string) (home, fallback ident.HostID) {
+	a := h.byService[service]
+	return a.home, a.fallback
 }
 
-// Len is the number of services that have a home.
+// Len returns the number of services that have a home.
 func (h *Homes) Len() int { return len(h.byService) }
 
 func newHomes(index *hostIndex, services []Service) *Homes {
-	homes := &Homes{byService: make(map[string]pair, len(services))}
+	homes := &Homes{byService: make(map[string]assignment, len(services))}
 	if len(index.hosts) == 0 {
 		return homes
 	}
-	held := make([]int, len(index.hosts))
-	bound := maxServices(len(services), len(index.hosts))
+	counts := make([]int, len(index.hosts))
+	limit := maxServices(len(services), len(index.hosts))
 	for _, s := range byHash(services) {
 		ranked := index.rank(s.service, s.hash)
-		first := withRoom(ranked, held, bound, index)
-		held[first]++
-		homes.byService[s.service.Name] = index.pair(first, ranked)
+		home := firstWithRoom(ranked, counts, limit, index)
+		counts[home]++
+		homes.byService[s.service.Name] = index.assign(home, ranked)
 	}
 	return homes
 }
 
-// maxServices is the most services that one host is the home of.
+// maxServices returns the maximum number of services of one home.
 func maxServices(services, hosts int) int {
 	mean := float64(services) / float64(hosts)
-	return int(math.Ceil(mean * loadBound))
+	return int(math.Ceil(mean * maxLoadRatio))
 }
 
 type hashedService struct {
@@ -114,8 +109,8 @@
 	hash    uint64
 }
 
-// byHash orders services the same way on every host, whatever the order they
-// came in; it decides which of them yields when a host is full.
+// byHash returns the services in an order that is the same on every host. It decides
+// which services are moved elsewhere when a host is full.
 func byHash(services []Service) []hashedService {
 	hashed := make([]hashedService, len(services))
 	for i, s := range services {
@@ -127,13 +122,13 @@
 	return hashed
 }
 
-// withRoom is the best ranked host below the bound; when all that were ranked
-// are full it is the one with the fewest services of the whole fleet.
-func withRoom(ranked, held []int, bound int, index *hostIndex) int {
+// firstWithRoom returns the best ranked host below the limit, or the host with the
+// fewest services if all ranked ones are full.
+func firstWithRoom(ranked, counts []int, limit int, index *hostIndex) int {
 	for _, host := range ranked {
-		if held[host] < bound {
+		if counts[host] < limit {
 			return host
 		}
 	}
-	return index.leastHeld(held)
+	return index.leastLoaded(counts)
 }
--- a/place/rank.go
+++ b/place/rank.go
@@ -7,13 +7,12 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// rankedHosts is how many hosts are ranked for a service: enough for the load
-// bound to find room on one of them and for a second in another zone.
-const rankedHosts = 6
+// maxRankedHosts is the number of hosts ranked for a service: enough to find one below
+// the load limit and a fallback in another zone.
+const maxRankedHosts = 6
 
-// hostIndex holds the serving hosts by availability zone, so that ranking a
-// service looks at the hosts near its backend servers only. At 3,400 hosts in
-// 8 zones that is a quarter of them for a service in two zones.
+// hostIndex indexes the serving hosts by availability zone and region, so that ranking
+// a service considers only the hosts near its backend servers.
 type hostIndex struct {
 	hosts    []indexedHost
 	byZone   map[Location][]int
@@ -50,80 +49,75 @@
 	x.all = append(x.all, n)
 }
 
-// rank returns up to rankedHosts hosts, best first: hosts in a zone of the
-// service's servers, then in their region, then elsewhere; by rendezvous hash
-// among equals.
-//
-// Load: every leg crosses from its entry host to the home and from there to a
-// backend server. Harm prevented: a second crossing between zones (0.5 to 1 ms
-// today) or between regions on each leg. Locality only orders the choice, the
-// load bound still moves services to hosts further away.
+// rank returns up to maxRankedHosts hosts, best first: hosts in a zone of the service's
+// servers, then in their region, then elsewhere, each tier by rendezvous hash. Locality
+// saves a second hop between zones or regions on each leg.
 func (x *hostIndex) rank(service Service, serviceHash uint64) []int {
 	top := topHosts{index: x, serviceHash: serviceHash}
 	for _, at := range service.Locations {
-		top.offer(x.byZone[at])
+		top.addHosts(x.byZone[at])
 	}
-	top.closeTier()
+	top.completeTier()
 	for _, at := range service.Locations {
-		top.offer(x.byRegion[at.Region])
+		top.addHosts(x.byRegion[at.Region])
 	}
-	top.closeTier()
-	top.offer(x.all)
+	top.completeTier()
+	top.addHosts(x.all)
 	return top.ranked
 }
 
-// pair adds to a home the best ranked host of another zone, else the best of
-// the others.
-func (x *hostIndex) pair(first int, ranked []int) pair {
-	p := pair{first: x.hosts[first].id}
+// assign returns the home with its fallback: the best ranked host of another zone, else
+// the best of the others.
+func (x *hostIndex) assign(home int, ranked []int) assignment {
+	a := assignment{home: x.hosts[home].id}
 	for _, host := range ranked {
-		if host == first {
+		if host == home {
 			continue
 		}
-		if p.second == "" {
-			p.second = x.hosts[host].id
+		if a.fallback == "" {
+			a.fallback = x.hosts[host].id
 		}
-		if x.hosts[host].at != x.hosts[first].at {
-			p.second = x.hosts[host].id
+		if x.hosts[host].at != x.hosts[home].at {
+			a.fallback = x.hosts[host].id
 			break
 		}
 	}
-	return p
+	return a
 }
 
-func (x *hostIndex) leastHeld(held []int) int {
+func (x *hostIndex) leastLoaded(counts []int) int {
 	least := 0
-	for host := range held {
-		if held[host] < held[least] {
+	for host := range counts {
+		if counts[host] < counts[least] {
 			least = host
 		}
 	}
 	return least
 }
 
-// topHosts collects the best ranked hosts, one tier of locality after another.
+// topHosts collects the best ranked hosts, tier by tier.
 type topHosts struct {
 	index       *hostIndex
 	serviceHash uint64
 	ranked      []int
 	scores      []uint64
-	closed      int // hosts of earlier tiers, which later ones can't overtake
+	completed   int // number of hosts of completed tiers, which keep their ranks
 }
 
-func (t *topHosts) closeTier() { t.closed = len(t.ranked) }
+func (t *topHosts) completeTier() { t.completed = len(t.ranked) }
 
-func (t *topHosts) offer(hosts []int) {
-	if t.closed >= rankedHosts {
+func (t *topHosts) addHosts(hosts []int) {
+	if t.completed >= maxRankedHosts {
 		return
 	}
 	for _, host := range hosts {
-		t.insert(host, mix(t.serviceHash^t.index.hosts[host].hash))
+		t.insert(host, mix64(t.serviceHash^t.index.hosts[host].hash))
 	}
 }
 
 func (t *topHosts) insert(host int, score uint64) {
-	full := len(t.ranked) == rankedHosts
-	if full && score <= t.scores[rankedHosts-1] {
+	full := len(t.ranked) == maxRankedHosts
+	if full && score <= t.scores[maxRankedHosts-1] {
 		return
 	}
 	if t.has(host) {
@@ -134,7 +128,7 @@
 		t.scores = append(t.scores, 0)
 	}
 	i := len(t.ranked) - 1
-	for ; i > t.closed && t.scores[i-1] < score; i-- {
+	for ; i > t.completed && t.scores[i-1] < score; i-- {
 		t.ranked[i], t.scores[i] = t.ranked[i-1], t.scores[i-1]
 	}
 	t.ranked[i], t.scores[i] = host, score
@@ -149,8 +143,8 @@
 	return false
 }
 
-// mix is the finalizer of splitmix64: every bit of x changes half of the bits.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64: every bit of x changes half of the bits.
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
