--- a/leg/leg.go
+++ b/leg/leg.go
@@ -1,5 +1,5 @@
-// Package leg holds the messages between the root of a query and the homes of
-// its services: one shard's part of a request, and how it ended.
+// Package leg defines the messages between the root of a query and the homes of its
+// services. A leg is one shard's part of a request.
 package leg
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Request asks the home of Service to run one shard's part of a request.
+// Request asks the home of Service to run a leg.
 type Request struct {
 	Request     ident.RequestID
 	Service     string
@@ -24,74 +24,78 @@
 	Snapshot    snapshot.Version
 	Class       string
 	Caller      string
-	Deadline    time.Time // on the local clock; hops send the time left
+	Deadline    time.Time // on the local clock; the remaining time is sent between hosts
 	Idempotent  bool
-	Fingerprint uint64 // of route, caller and body
+	Fingerprint uint64 // hash of route, caller and body
 	Body        []byte
-	// SoftDeadline is when the answer loses most of its worth; zero: at the deadline.
+	// SoftDeadline is the time after which the answer has lost most of its value; zero
+	// means the deadline.
 	SoftDeadline time.Time
-	// Optional: the query can do without the answer, which would not be in time.
+	// Optional is set if the query can be answered without this leg.
 	Optional bool
-	// MaxServers bounds the backend servers that may run the leg; 0: no bound.
+	// MaxServers limits the number of backend servers that may run the leg; 0 means no
+	// limit.
 	MaxServers int
-	// Forward is set for a request that is passed on as its caller sent it.
+	// Forward is set for a request passed through as its caller sent it.
 	Forward *forward.Request
-	// FailedHome is a home that was lost with the leg, which may have run there; empty: none.
+	// FailedHome is the home that was lost while it had the leg, which may have run
+	// there; empty if none.
 	FailedHome ident.HostID
-	// PinnedServer names the one server that the home may send the leg to; empty: any.
+	// PinnedServer names the only server that the home may send the leg to; empty means
+	// any.
 	PinnedServer string
-	// DirectServer names the one backend server to run the leg at; empty: the home of
-	// Service chooses one.
+	// DirectServer names a backend server to send the leg to directly; empty means that
+	// the home of Service chooses one.
 	DirectServer string
-	// DirectIncarnation is the start of Server that the sender means; 0: not known.
+	// DirectIncarnation is the expected incarnation of DirectServer; 0 if not known.
 	DirectIncarnation uint64
-	// MaxRecords of the answer of a named server are sent back, the greatest;
-	// 0: all.
+	// MaxRecords limits the records in the answer of a directly addressed server to
+	// the greatest; 0 means all.
 	MaxRecords int
-	// FullAnswer asks for all records of an answer of a named server that was cut.
+	// FullAnswer asks for all records of an answer that was truncated before.
 	FullAnswer bool
 }
 
-// Result is how a leg ended. Request and Shard are echoes, which the root
-// checks before it believes the rest.
+// Result is how a leg ended. The root checks the echoed Request and Shard before it
+// uses the rest.
 type Result struct {
 	Request  ident.RequestID
 	Shard    snapshot.ShardID
-	Snapshot snapshot.Version // that the backend server answered from
-	Outcome  result.Outcome   // of the whole leg: NotRun only if every attempt was
-	Code     result.Code      // why there is no answer; 0 when Body is the answer
+	Snapshot snapshot.Version // used for the answer
+	Outcome  result.Outcome   // of the whole leg; NotRun only if no attempt ran
+	Code     result.Code      // why there is no answer; 0 if Body is the answer
 	Detail   string
 	Body     []byte
-	Digest   uint64 // of Body, made where the body was first received
-	// HeldSnapshots are the index's snapshots that the backend server holds, if it said so.
+	Digest   uint64 // of Body, computed on the host that received it from the server
+	// HeldSnapshots are the index's snapshots on the backend server, if reported.
 	HeldSnapshots []snapshot.Version
-	// Reply is the backend server's reply to a forwarded request, also one that
-	// says that the request failed; nil: there is none.
+	// Reply is the backend server's reply to a forwarded request, including error
+	// replies; nil if there is none.
 	Reply    *forward.Reply
-	Attempts int // sent to backend servers
-	Hedges   int // of these, hedges
-	// QueueTime is how long the leg waited at its home before its first attempt
-	// began; UnknownWait when none began or the home did not say.
+	Attempts int // number sent to backend servers
+	Hedges   int // number of attempts that were hedges
+	// QueueTime is the time in the home's queue before the first attempt, or
+	// UnknownQueueTime.
 	QueueTime  time.Duration
 	RetryAfter time.Duration
-	// Attempt is how the attempt at a named server ended; nil: it was not made,
-	// or nothing is known of it.
+	// Attempt is how the attempt at a directly addressed server ended; nil if none was
+	// made or its end isn't known.
 	Attempt *backend.Attempt
-	// Truncated: Body holds only the greatest records.
+	// Truncated is set if Body holds only the greatest records.
 	Truncated bool
-	// Forecast is how the next leg would fare at the home; nil: it did not say.
+	// Forecast is the home's forecast for the next leg; nil if it sent none.
 	Forecast *Forecast
 }
 
-// Forecast says how a leg that is sent now would fare at its service.
+// Forecast predicts the queueing and service time of a leg that is sent now.
 type Forecast struct {
-	QueueTime   time.Duration // until a slot is free for it
-	ServiceTime time.Duration // from then on, typically
-	// Unresponsive: no server of the service answers or takes it.
+	QueueTime   time.Duration // time until a slot is free
+	ServiceTime time.Duration // typical service time after that
+	// Unresponsive is set if no server of the service answers or accepts legs.
 	Unresponsive bool
 }
 
-// String is the forecast in a log line: wait and run in ms.
+// String formats the forecast for logs: queue and service time in milliseconds.
 func (f Forecast) String() string {
 	if f.Unresponsive {
 		return "silent"
@@ -99,23 +103,23 @@
 	return fmt.Sprintf("%d+%d", f.QueueTime.Milliseconds(), f.ServiceTime.Milliseconds())
 }
 
-// UnknownQueueTime stands for a wait that is not known.
+// UnknownQueueTime stands for a queue time that isn't known.
 const UnknownQueueTime time.Duration = -1
 
 // HasAnswer reports whether the result carries an answer.
 func (r Result) HasAnswer() bool { return r.Code == 0 && r.Outcome == result.OutcomeRan }
 
-// Runner runs legs. It calls done exactly once for each leg, from any
-// goroutine and possibly before Run returns; done must not block. The returned
-// function cancels the leg; done is still called.
+// Runner runs legs. It calls done exactly once for each leg, from any goroutine and
+// possibly before Run returns; done must not block. The returned function cancels the
+// leg; done is still called.
 type Runner interface {
 	Run(request Request, done func(Result)) (cancel func())
 }
 
-// Digest is the checksum of a reply's body, by which a half reply is seen.
+// Digest returns the checksum of a reply's body, which detects truncated replies.
 func Digest(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Failed makes the result of a leg without an answer.
+// Failed returns the result of a leg without an answer.
 func Failed(request Request, code result.Code, outcome result.Outcome, detail string) Result {
 	return Result{
 		Request:   request.Request,
