--- a/homeserver/server.go
+++ b/homeserver/server.go
@@ -1,6 +1,5 @@
-// Package homeserver is the shell of the homes: it runs the decisions of
-// package home for each service this host is home of, sends the attempts to
-// the backend servers, and gives each leg its one result.
+// Package homeserver runs the homes of this host: it carries out the decisions of
+// package home, sends attempts to the backend servers, and reports each leg's result.
 package homeserver
 
 import (
@@ -17,104 +16,104 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// Counter counts what the homes decide; the observe slice gives one.
+// Counter counts attempts and cancellations, for metrics.
 type Counter interface {
 	Attempt(service string, hedge, retry bool)
 	AttemptEnd(service string, fault backend.Fault)
 	Cancelled(service string)
 }
 
-// AttemptObserver hears what attempts tell of backend servers.
+// AttemptObserver observes the attempts at backend servers and may refuse legs.
 type AttemptObserver interface {
 	// Started is called before an attempt is sent.
 	Started(id ident.AttemptID, server backend.Server, fingerprint uint64)
-	// Ended is called after each attempt. It reports whether the request is
-	// suspected of having crashed the server; its leg is then not retried.
+	// Ended is called after each attempt. It reports whether the request is suspected
+	// of having crashed the server, in which case its leg isn't retried.
 	Ended(id ident.AttemptID, server backend.Server, fingerprint uint64, end backend.Attempt) (suspect bool)
-	// Refuse is asked before a leg is queued; nil lets it in.
+	// Refuse is called before a leg is queued; nil admits it.
 	Refuse(request leg.Request) *result.Error
 }
 
 // Server runs the homes of this host. Its methods are safe for concurrent use.
 type Server struct {
-	runner  backend.Runner
-	counter Counter
-	watcher AttemptObserver
-	now     func() time.Time
-	inForce func() *bundle.Config
-	tune    ConfigOverride
-	observe func(service string, change home.ServerChange)
+	runner        backend.Runner
+	counter       Counter
+	observer      AttemptObserver
+	now           func() time.Time
+	currentConfig func() *bundle.Config
+	override      ConfigOverride
+	onChange      func(service string, change home.ServerChange)
 
-	mu       sync.RWMutex
-	services map[string]*service
-	known    map[string][]KnownServer // by service, also of those not yet in use
-	config   *bundle.Config
-	nextHome uint64
-	nextLeg  atomic.Uint64
-	shared   *home.LatencyStats
-	workers  *workers
+	mu           sync.RWMutex
+	services     map[string]*service
+	known        map[string][]KnownServer // by service, including those without a home yet
+	config       *bundle.Config
+	nextHome     uint64
+	nextLeg      atomic.Uint64
+	latencyStats *home.LatencyStats
+	workers      *workerPool
 }
 
-// KnownServer is a backend server as the control goroutine knows it.
+// KnownServer is a backend server with its current state.
 type KnownServer struct {
 	Server   backend.Server
 	SameZone bool
 	Leaving  bool
-	// Slots is how many requests the server serves at once; 0: as many as the
-	// configuration says of its service.
+	// Slots is how many requests the server serves at once; 0 means as configured for
+	// the service.
 	Slots  int
 	Region string
-	// ColdUntil is until when the server has said to be cold after its start.
+	// ColdUntil is the end of the cold period that the server reported at its start.
 	ColdUntil time.Time
-	// Warmup bounds what the server gets while it is cold.
+	// Warmup limits the requests to the server while it is cold.
 	Warmup home.WarmupLimit
 }
 
-// ConfigOverride changes the limits of a service's home before they are put in force.
+// ConfigOverride adjusts the limits of a service's home before they are applied.
 type ConfigOverride func(*home.Config)
 
-// New makes a server without homes; they come into being with their first leg.
-// inForce returns the configuration in force; nil: none yet.
-func New(runner backend.Runner, counter Counter, watcher AttemptObserver, now func() time.Time, inForce func() *bundle.Config) *Server {
+// New returns a server without homes; they are created with their first leg. currentConfig
+// returns the current configuration, or nil if there is none yet.
+func New(runner backend.Runner, counter Counter, observer AttemptObserver, now func() time.Time, currentConfig func() *bundle.Config) *Server {
 	return &Server{
-		runner:   runner,
-		counter:  counter,
-		watcher:  watcher,
-		now:      now,
-		inForce:  inForce,
-		services: make(map[string]*service),
-		known:    make(map[string][]KnownServer),
-		shared:   home.NewLatencyStats(),
-		workers:  newWorkers(),
+		runner:        runner,
+		counter:       counter,
+		observer:      observer,
+		now:           now,
+		currentConfig: currentConfig,
+		services:      make(map[string]*service),
+		known:         make(map[string][]KnownServer),
+		latencyStats:  home.NewLatencyStats(),
+		workers:       newWorkers(),
 	}
 }
 
-// SetConfigOverride makes the server change the limits of each home; call it before any
-// leg runs.
-func (s *Server) SetConfigOverride(tune ConfigOverride) { s.tune = tune }
+// SetConfigOverride sets the function that adjusts the limits of each home. It must be
+// called before any leg runs.
+func (s *Server) SetConfigOverride(override ConfigOverride) { s.override = override }
 
-// SetObserver makes the server tell what the homes believe of backend servers; call
-// it before any leg runs. observe must not block.
-func (s *Server) SetObserver(observe func(service string, change home.ServerChange)) {
-	s.observe = observe
+// SetObserver sets the function that is called on state changes of backend servers. It
+// must be called before any leg runs; onChange must not block.
+func (s *Server) SetObserver(onChange func(service string, change home.ServerChange)) {
+	s.onChange = onChange
 }
 
 func (s *Server) notify(service string, change home.ServerChange) {
-	if s.observe != nil {
-		s.observe(service, change)
+	if s.onChange != nil {
+		s.onChange(service, change)
 	}
 }
 
-// Refresh puts the configuration in force into the homes. Legs that come find
-// it by themselves; those that wait already need the call.
+// Refresh applies the current configuration to the homes. New legs do so by themselves;
+// legs that already wait need the call.
 func (s *Server) Refresh() {
-	config := s.inForce()
+	config := s.currentConfig()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh(config)
 }
 
-// ReapplyConfig puts the limits that the Tune gives now into the homes.
+// ReapplyConfig applies the current result of the ConfigOverride to the homes.
 func (s *Server) ReapplyConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +134,7 @@
 	for name, svc := range s.services {
 		spec, ok := config.Service(name)
 		if !ok {
-			// What runs there runs to its end.
+			// Legs that were submitted before are still completed.
 			delete(s.services, name)
 			continue
 		}
@@ -143,7 +142,7 @@
 	}
 }
 
-// SetServers tells which backend servers each service has.
+// SetServers replaces the backend servers of all services.
 func (s *Server) SetServers(known map[string][]KnownServer) {
 	s.mu.Lock()
 	open := make([]*service, 0, len(s.services))
@@ -161,12 +160,12 @@
 
 // Run runs a leg at this host's home of its service; see leg.Runner.
 func (s *Server) Run(request leg.Request, done func(leg.Result)) (cancel func()) {
-	svc, class, failure := s.service(request)
+	svc, class, failure := s.homeFor(request)
 	if failure != nil {
 		done(*failure)
 		return func() {}
 	}
-	if e := s.watcher.Refuse(request); e != nil {
+	if e := s.observer.Refuse(request); e != nil {
 		r := leg.Failed(request, e.Code, result.OutcomeUnsent, e.Detail)
 		r.RetryAfter = e.RetryAfter
 		done(r)
@@ -177,37 +176,37 @@
 	return func() { svc.cancel(id) }
 }
 
-func (s *Server) service(request leg.Request) (*service, int, *leg.Result) {
-	config := s.inForce()
+func (s *Server) homeFor(request leg.Request) (*service, int, *leg.Result) {
+	config := s.currentConfig()
 	if config == nil {
-		return nil, 0, refused(request, result.NotReady, "no configuration yet")
+		return nil, 0, refusal(request, result.NotReady, "no configuration yet")
 	}
 	_, class, ok := config.Class(request.Class)
 	if !ok {
-		return nil, 0, refused(request, result.BadRequest, "unknown class "+request.Class)
+		return nil, 0, refusal(request, result.BadRequest, "unknown class "+request.Class)
 	}
 	s.mu.RLock()
 	svc, current := s.services[request.Service], s.config
 	s.mu.RUnlock()
 	if svc == nil || current != config {
-		svc = s.open(config, request.Service)
+		svc = s.openHome(config, request.Service)
 	}
 	if svc == nil {
-		return nil, 0, refused(request, result.NoBackend, "unknown service "+request.Service)
+		return nil, 0, refusal(request, result.NoBackend, "unknown service "+request.Service)
 	}
 	return svc, class, nil
 }
 
-func refused(request leg.Request, code result.Code, detail string) *leg.Result {
+func refusal(request leg.Request, code result.Code, detail string) *leg.Result {
 	r := leg.Failed(request, code, result.OutcomeUnsent, detail)
 	return &r
 }
 
-// attemptsPerHome spaces the attempt ids of homes, so that no two attempts of
-// this host ever share one.
-const attemptsPerHome = 1 << 40
+// attemptIDsPerHome separates the attempt IDs of homes, so that they are unique on this
+// host.
+const attemptIDsPerHome = 1 << 40
 
-func (s *Server) open(config *bundle.Config, name string) *service {
+func (s *Server) openHome(config *bundle.Config, name string) *service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh(config)
@@ -219,7 +218,7 @@
 		return nil
 	}
 	s.nextHome++
-	first := ident.AttemptID(s.nextHome * attemptsPerHome)
+	first := ident.AttemptID(s.nextHome * attemptIDsPerHome)
 	svc := newService(s, name, home.New(s.homeConfig(s.config, spec), first))
 	s.services[name] = svc
 	svc.setServers(s.known[name])
@@ -238,16 +237,16 @@
 		HedgeBudget:    config.Policy.HedgeBudget,
 		HedgeQuantile:  config.Policy.HedgeQuantile,
 		RetryBudget:    config.Policy.RetryBudget,
-		LatencyStats:   s.shared,
+		LatencyStats:   s.latencyStats,
 	}
-	if s.tune != nil {
-		s.tune(&limits)
+	if s.override != nil {
+		s.override(&limits)
 	}
 	return limits
 }
 
-// Forecast says how a leg of the class would fare at the service; nothing is
-// known where this host is not its home.
+// Forecast returns the forecast for a leg of the class at the service. It is zero if
+// this host has no home of the service.
 func (s *Server) Forecast(service, class string) leg.Forecast {
 	s.mu.RLock()
 	svc, config := s.services[service], s.config
@@ -255,34 +254,34 @@
 	if svc == nil || config == nil {
 		return leg.Forecast{}
 	}
-	_, position, ok := config.Class(class)
+	_, classIndex, ok := config.Class(class)
 	if !ok {
 		return leg.Forecast{}
 	}
-	return svc.forecast(position)
+	return svc.forecast(classIndex)
 }
 
-// ServerInZone returns the name of the service's server in the availability zone, the first by
-// name; empty: there is none in service.
+// ServerInZone returns the name of the service's first server by name in the
+// availability zone, or an empty string if none is in service there.
 func (s *Server) ServerInZone(service, zone string) string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	near := ""
+	first := ""
 	for _, k := range s.known[service] {
-		if k.Server.Zone == zone && !k.Leaving && (near == "" || k.Server.Name < near) {
-			near = k.Server.Name
+		if k.Server.Zone == zone && !k.Leaving && (first == "" || k.Server.Name < first) {
+			first = k.Server.Name
 		}
 	}
-	return near
+	return first
 }
 
-// OpenLegs counts the legs that are under way at this host's homes.
+// OpenLegs returns the number of legs in progress at this host's homes.
 func (s *Server) OpenLegs() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	open := 0
 	for _, svc := range s.services {
-		open += svc.open()
+		open += svc.openLegs()
 	}
 	return open
 }
--- a/homeserver/service.go
+++ b/homeserver/service.go
@@ -13,7 +13,7 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// service runs one home: the mutex makes its decisions one at a time.
+// service runs one home; the mutex serializes its decisions.
 type service struct {
 	server *Server
 	name   string
@@ -25,19 +25,20 @@
 	attempts map[ident.AttemptID]*openAttempt
 	servers  map[string]backend.Server
 	timer    *time.Timer
-	due      time.Time // when timer fires; zero: not set
+	timerAt  time.Time // when timer fires; zero if it isn't set
 }
 
 type openLeg struct {
-	request  leg.Request
-	done     func(leg.Result)
-	came     time.Time
-	wait     time.Duration // until the first attempt; leg.UnknownWait before it
-	attempts int
-	hedges   int
-	// notHeld: the last attempt was refused since the server lacks the snapshot.
-	notHeld bool
-	// reply is what a backend server said of a forwarded request last.
+	request     leg.Request
+	done        func(leg.Result)
+	submittedAt time.Time
+	wait        time.Duration // time until the first attempt; leg.UnknownQueueTime before that
+	attempts    int
+	hedges      int
+	// snapshotNotHeld is set if the last attempt was refused because the server lacks
+	// the snapshot.
+	snapshotNotHeld bool
+	// reply is the last backend server reply to a forwarded request.
 	reply *forward.Reply
 }
 
@@ -47,9 +48,9 @@
 	end    backend.Attempt
 }
 
-// ending is a leg's result that is handed out after the mutex is released, so
-// that a done function may call back into the server.
-type ending struct {
+// completion is a leg's result that is delivered after the mutex is released, so that done
+// may call back into the server.
+type completion struct {
 	done   func(leg.Result)
 	result leg.Result
 }
@@ -67,7 +68,7 @@
 
 func (s *service) submit(id home.LegID, class int, request leg.Request, done func(leg.Result)) {
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
-		s.legs[id] = &openLeg{request: request, done: done, came: now, wait: leg.UnknownQueueTime}
+		s.legs[id] = &openLeg{request: request, done: done, submittedAt: now, wait: leg.UnknownQueueTime}
 		return s.home.Submit(now, home.Leg{
 			ID:           id,
 			Request:      request.Request,
@@ -87,7 +88,7 @@
 	})
 }
 
-// regionsOf are the regions whose servers may run the request; empty: any.
+// regionsOf returns the regions whose servers may run the request; empty means any.
 func regionsOf(request leg.Request) []string {
 	if request.Forward == nil {
 		return nil
@@ -96,19 +97,19 @@
 }
 
 func (s *service) cancel(id home.LegID) {
-	var gone *openLeg
+	var cancelled *openLeg
 	var outcome result.Outcome
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
-		gone = s.legs[id]
+		cancelled = s.legs[id]
 		delete(s.legs, id)
 		outcome = s.home.Outcome(id)
 		return s.home.Cancel(now, id, acts)
 	})
-	if gone == nil {
+	if cancelled == nil {
 		return
 	}
 	s.server.counter.Cancelled(s.name)
-	gone.done(leg.Failed(gone.request, result.Cancelled, outcome, "cancelled"))
+	cancelled.done(leg.Failed(cancelled.request, result.Cancelled, outcome, "cancelled"))
 }
 
 func (s *service) setServers(known []KnownServer) {
@@ -135,30 +136,30 @@
 
 func (s *service) tick() {
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
-		s.due = time.Time{}
+		s.timerAt = time.Time{}
 		return s.home.Tick(now, acts)
 	})
 }
 
-// decide makes one decision under the mutex, carries out its actions and then,
-// without the mutex, hands out the results of legs that ended.
+// decide makes one decision under the mutex and carries out its actions, then delivers
+// results and state changes without the mutex.
 func (s *service) decide(decision func(time.Time, []home.Action) []home.Action) {
 	s.mu.Lock()
 	s.acts = decision(s.server.now(), s.acts[:0])
-	endings := s.carryOut(s.acts)
+	completions := s.apply(s.acts)
 	changes := s.home.DrainChanges()
 	s.setTimer()
 	s.mu.Unlock()
 	for _, change := range changes {
 		s.server.notify(s.name, change)
 	}
-	for _, e := range endings {
+	for _, e := range completions {
 		e.done(e.result)
 	}
 }
 
-func (s *service) carryOut(acts []home.Action) []ending {
-	var endings []ending
+func (s *service) apply(acts []home.Action) []completion {
+	var completions []completion
 	for _, act := range acts {
 		switch act.Kind {
 		case home.ActionStart:
@@ -168,26 +169,25 @@
 				a.cancel()
 			}
 		case home.ActionAnswer, home.ActionFail:
-			if e, ok := s.end(act); ok {
-				endings = append(endings, e)
+			if e, ok := s.complete(act); ok {
+				completions = append(completions, e)
 			}
 		}
 	}
-	return endings
+	return completions
 }
 
 func (s *service) start(act home.Action) {
 	l := s.legs[act.Leg]
 	if l.attempts == 0 {
-		l.wait = s.server.now().Sub(l.came)
+		l.wait = s.server.now().Sub(l.submittedAt)
 	}
 	l.attempts++
 	if act.Hedge {
 		l.hedges++
 	}
 	s.server.counter.Attempt(s.name, act.Hedge, act.Retry)
-	// An attempt ends by its deadline or by a cancel of the home, never because
-	// the goroutine that submitted the leg has gone.
+	// The attempt must not end with the context of the goroutine that submitted the leg.
 	ctx, cancel := context.WithDeadline(context.Background(), l.request.Deadline)
 	s.attempts[act.Attempt] = &openAttempt{leg: act.Leg, cancel: cancel}
 	call := backend.Call{
@@ -203,7 +203,7 @@
 		Body:       l.request.Body,
 		Forward:    l.request.Forward,
 	}
-	s.server.watcher.Started(act.Attempt, s.servers[act.Server], l.request.Fingerprint)
+	s.server.observer.Started(act.Attempt, s.servers[act.Server], l.request.Fingerprint)
 	server, fingerprint := s.servers[act.Server], l.request.Fingerprint
 	s.server.workers.start(func() { s.run(ctx, server, fingerprint, call) })
 }
@@ -211,9 +211,9 @@
 func (s *service) run(ctx context.Context, server backend.Server, fingerprint uint64, call backend.Call) {
 	end := s.server.runner.Run(ctx, server, call)
 	s.server.counter.AttemptEnd(s.name, end.Fault)
-	suspect := s.server.watcher.Ended(call.Attempt, server, fingerprint, end)
+	suspect := s.server.observer.Ended(call.Attempt, server, fingerprint, end)
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
-		s.note(s.attempts[call.Attempt], end)
+		s.recordEnd(s.attempts[call.Attempt], end)
 		acts = s.home.Finish(now, call.Attempt, home.AttemptResult{
 			Outcome:    end.Outcome,
 			Fault:      end.Fault,
@@ -229,21 +229,21 @@
 	s.mu.Unlock()
 }
 
-func (s *service) note(a *openAttempt, end backend.Attempt) {
+func (s *service) recordEnd(a *openAttempt, end backend.Attempt) {
 	a.cancel()
 	a.end = end
 	if l := s.legs[a.leg]; l != nil {
-		l.notHeld = end.Fault == backend.FaultSnapshotNotHeld
+		l.snapshotNotHeld = end.Fault == backend.FaultSnapshotNotHeld
 		if end.Reply.Forwarded != nil {
 			l.reply = end.Reply.Forwarded
 		}
 	}
 }
 
-func (s *service) end(act home.Action) (ending, bool) {
+func (s *service) complete(act home.Action) (completion, bool) {
 	l, ok := s.legs[act.Leg]
 	if !ok {
-		return ending{}, false
+		return completion{}, false
 	}
 	delete(s.legs, act.Leg)
 	r := leg.Failed(l.request, act.Code, act.Outcome, "")
@@ -252,7 +252,7 @@
 	r.QueueTime = l.wait
 	r.RetryAfter = act.RetryAfter
 	r.Reply = l.reply
-	if l.notHeld {
+	if l.snapshotNotHeld {
 		r.Code = result.NoSnapshot
 	}
 	if act.Kind == home.ActionAnswer {
@@ -264,15 +264,15 @@
 		r.HeldSnapshots = reply.Held
 		r.Reply = reply.Forwarded
 	}
-	return ending{done: l.done, result: r}, true
+	return completion{done: l.done, result: r}, true
 }
 
 func (s *service) setTimer() {
 	next := s.home.NextTick()
-	if next.IsZero() || (!s.due.IsZero() && !next.Before(s.due)) {
+	if next.IsZero() || (!s.timerAt.IsZero() && !next.Before(s.timerAt)) {
 		return
 	}
-	s.due = next
+	s.timerAt = next
 	wait := max(next.Sub(s.server.now()), 0)
 	if s.timer == nil {
 		s.timer = time.AfterFunc(wait, s.tick)
@@ -293,7 +293,7 @@
 	return s.home.Forecast(s.server.now(), class)
 }
 
-func (s *service) open() int {
+func (s *service) openLegs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.legs)
--- a/homeserver/workers.go
+++ b/homeserver/workers.go
@@ -2,23 +2,21 @@
 
 import "time"
 
-// workerIdle is how long a goroutine without work is kept: longer than the pauses
-// between the searches of a quiet host.
-const workerIdle = 2 * time.Second
+// workerIdleTimeout is how long a goroutine without work is kept: longer than the
+// pauses between searches on a quiet host.
+const workerIdleTimeout = 2 * time.Second
 
-// workers runs attempts on goroutines that are kept for the next ones.
-//
-// Load: a search over 180 services starts as many attempts at once. Harm prevented: each
-// begins on a small stack, which is copied three times on the way through the encoding
-// of a request and the decoding of its reply: 8% of a host's processor time.
-type workers struct {
+// workerPool runs attempts on reused goroutines, whose stacks have already grown. A
+// large search starts hundreds of attempts at once, and growing new stacks takes
+// noticeable processor time.
+type workerPool struct {
 	work chan func()
 }
 
-func newWorkers() *workers { return &workers{work: make(chan func())} }
+func newWorkers() *workerPool { return &workerPool{work: make(chan func())} }
 
-// start runs f on a goroutine that waits for work, or on a new one.
-func (w *workers) start(f func()) {
+// start runs f on an idle goroutine, or on a new one if none is idle.
+func (w *workerPool) start(f func()) {
 	select {
 	case w.work <- f:
 	default:
@@ -26,12 +24,12 @@
 	}
 }
 
-func (w *workers) serve(f func()) {
-	idle := time.NewTimer(workerIdle)
+func (w *workerPool) serve(f func()) {
+	idle := time.NewTimer(workerIdleTimeout)
 	defer idle.Stop()
 	for {
 		f()
-		idle.Reset(workerIdle)
+		idle.Reset(workerIdleTimeout)
 		select {
 		case f = <-w.work:
 		case <-idle.C:
