--- a/entry/advise.go
+++ b/entry/advise.go
@@ -1,9 +1,9 @@
-// Package entry owns the advice to callers: which entry hosts to use, with
-// which weights, and how long to keep the answer. No balancer stands before
-// the hosts; this advice is what spreads the callers over them.
+// Package entry advises callers which entry hosts to use, with which weights, and how
+// long to keep the advice. There is no load balancer in front of the hosts; the advice
+// distributes the callers.
 //
-// The decisions are pure (time and randomness are passed in; no goroutine,
-// socket or log). A plain mutex makes an Advisor safe for many goroutines.
+// The decisions do no I/O: time and randomness are passed in. An Advisor is safe for
+// concurrent use.
 package entry
 
 import (
@@ -21,35 +21,35 @@
 )
 
 const (
-	// mostHosts is how many hosts an answer names: all of a small fleet; in a
-	// large one enough that a caller survives the loss of a rack.
-	mostHosts = 8
-	// farShare is the weight of all hosts in other availability zones
-	// together against those of the caller's own, while nothing is loaded.
-	farShare = 0.1
-	// awayShare is the same for other regions.
-	awayShare = 0.001
-	// keepSpread is the random part of the time to keep: callers that asked
-	// together do not come back together.
-	keepSpread = 0.25
-	// weightSteps rounds weights to thousandths.
+	// maxHosts is the number of hosts in one answer, enough for a caller to survive the
+	// loss of a rack.
+	maxHosts = 8
+	// otherZoneShare is the total weight of the hosts in other availability zones
+	// relative to those of the caller's own zone, while no host is loaded.
+	otherZoneShare = 0.1
+	// otherRegionShare is the same for other regions.
+	otherRegionShare = 0.001
+	// ttlJitter is the random fraction of the time to keep advice, so that callers that
+	// asked together don't ask again together.
+	ttlJitter = 0.25
+	// weightSteps is the number of steps that weights are rounded to.
 	weightSteps = 1000
 )
 
-// AdviceRequest is who asks for advice.
+// AdviceRequest describes the caller that asks for advice.
 type AdviceRequest struct {
-	// Key tells callers' processes apart, such as the caller's name with its
-	// client address: each gets its own, lasting order of hosts.
+	// Key identifies the caller's process, such as the caller's name with its address.
+	// Each key has its own stable order of hosts.
 	Key    string
 	Region string
-	Zone   string // availability zone; empty: not known
+	Zone   string // availability zone; empty if not known
 }
 
 // Advice is the answer to a caller.
 type Advice struct {
-	// Hosts are in the caller's own order: one that uses a single host takes
-	// the first, and the next when it fails; one that spreads its requests
-	// does so by the weights.
+	// Hosts are in the caller's own order: a caller that uses one host takes the first,
+	// and the next one when it fails; a caller that distributes its requests uses the
+	// weights.
 	Hosts []Host `json:"hosts"`
 	// TTLMillis is how long the answer may be kept, in milliseconds.
 	TTLMillis int64 `json:"keep_ms"`
@@ -68,22 +68,19 @@
 	score  float64
 }
 
-// Advise answers one caller. keep is the policy's time; the answer is never
-// kept for longer, since a stopping host waits for as long.
+// Advise answers one caller. ttl is the maximum time for which the answer may be kept;
+// a stopping host waits that long before it ends.
 //
-// Load: thousands of callers, most of them in one zone, and hosts that come
-// and go. Harm prevented: a caller reaches across zones without need; a host
-// that leaves or restarts moves callers that were not on it. Reasons for the
-// limits: the caller's own zone first, by ten to one while nothing is loaded;
-// the order is a weighted rendezvous of caller and host, so when a host
-// leaves, only its callers move, and as a weight shrinks, just that part.
-func (a *Advisor) Advise(view *member.View, asker AdviceRequest, keep time.Duration, rnd *rand.Rand) Advice {
-	candidates := a.best(view, asker)
+// Hosts are ranked by weighted rendezvous hashing, with most of the weight in the
+// caller's own zone. When a host leaves, only its own callers move, and when its weight
+// shrinks, only a corresponding part of them.
+func (a *Advisor) Advise(view *member.View, request AdviceRequest, ttl time.Duration, rnd *rand.Rand) Advice {
+	candidates := a.rank(view, request)
 	total := 0.0
 	for _, c := range candidates {
 		total += c.weight
 	}
-	advice := Advice{TTLMillis: spreadKeep(keep, rnd).Milliseconds()}
+	advice := Advice{TTLMillis: jitterTTL(ttl, rnd).Milliseconds()}
 	for _, c := range candidates {
 		weight := math.Ceil(weightSteps*c.weight/total) / weightSteps
 		advice.Hosts = append(advice.Hosts, Host{Address: c.host.CallerAddress, Zone: c.host.Zone, Weight: weight})
@@ -91,42 +88,42 @@
 	return advice
 }
 
-func spreadKeep(keep time.Duration, rnd *rand.Rand) time.Duration {
-	return keep - time.Duration(keepSpread*rnd.Float64()*float64(keep))
+func jitterTTL(ttl time.Duration, rnd *rand.Rand) time.Duration {
+	return ttl - time.Duration(ttlJitter*rnd.Float64()*float64(ttl))
 }
 
-// best are the hosts that rank first for the asker, in order. Leaving and
-// dead hosts are out at once; suspects stay, since most are well.
-func (a *Advisor) best(view *member.View, asker AdviceRequest) []candidate {
+// rank returns the hosts that rank first for the caller, in order. Leaving and dead
+// hosts are excluded; suspected ones stay, since most of them are healthy.
+func (a *Advisor) rank(view *member.View, request AdviceRequest) []candidate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	count := countServing(view, asker)
-	best := make([]candidate, 0, mostHosts+1)
+	count := countServing(view, request)
+	best := make([]candidate, 0, maxHosts+1)
 	for i := range view.Hosts {
 		host := &view.Hosts[i]
 		if !host.Serving() {
 			continue
 		}
-		c := candidate{host: host, weight: baseWeight(count, distanceOf(host, asker)) * a.factor(host.ID)}
-		c.score = score(asker.Key, host.ID, c.weight)
-		at, _ := slices.BinarySearchFunc(best, c, compare)
-		if at == mostHosts {
+		c := candidate{host: host, weight: baseWeight(count, distanceOf(host, request)) * a.factor(host.ID)}
+		c.score = score(request.Key, host.ID, c.weight)
+		at, _ := slices.BinarySearchFunc(best, c, compareCandidates)
+		if at == maxHosts {
 			continue
 		}
 		best = slices.Insert(best, at, c)
-		best = best[:min(len(best), mostHosts)]
+		best = best[:min(len(best), maxHosts)]
 	}
 	return best
 }
 
-func compare(x, y candidate) int {
+func compareCandidates(x, y candidate) int {
 	return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.host.ID, y.host.ID))
 }
 
-func countServing(view *member.View, asker AdviceRequest) (count [distances]int) {
+func countServing(view *member.View, request AdviceRequest) (count [distanceCount]int) {
 	for i := range view.Hosts {
 		if view.Hosts[i].Serving() {
-			count[distanceOf(&view.Hosts[i], asker)]++
+			count[distanceOf(&view.Hosts[i], request)]++
 		}
 	}
 	return count
@@ -137,30 +134,29 @@
 const (
 	sameZone distance = iota
 	sameRegion
-	elsewhere
-	distances
+	otherRegion
+	distanceCount
 )
 
-func distanceOf(host *member.Host, asker AdviceRequest) distance {
+func distanceOf(host *member.Host, request AdviceRequest) distance {
 	switch {
-	case host.Region != asker.Region && asker.Region != "":
-		return elsewhere
-	case host.Zone != asker.Zone && asker.Zone != "":
+	case host.Region != request.Region && request.Region != "":
+		return otherRegion
+	case host.Zone != request.Zone && request.Zone != "":
 		return sameRegion
 	default:
 		return sameZone
 	}
 }
 
-// baseWeight shares 1 among the hosts of the nearest distance that has any,
-// and the shares of the farther ones among theirs.
-func baseWeight(count [distances]int, d distance) float64 {
-	shares := [distances]float64{sameZone: 1, sameRegion: farShare, elsewhere: awayShare}
+// baseWeight divides the share of a distance among its hosts.
+func baseWeight(count [distanceCount]int, d distance) float64 {
+	shares := [distanceCount]float64{sameZone: 1, sameRegion: otherZoneShare, otherRegion: otherRegionShare}
 	return shares[d] / float64(count[d])
 }
 
-// score ranks a host for a caller by weighted rendezvous hashing: the least
-// of exponential draws with the weights as rates.
+// score ranks a host for a caller by weighted rendezvous hashing: exponential draws
+// with the weights as rates, lowest first.
 func score(key string, host ident.HostID, weight float64) float64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/entry/advisor.go
+++ b/entry/advisor.go
@@ -10,37 +10,34 @@
 )
 
 const (
-	// stepEvery is how often the factors move at most.
-	stepEvery = time.Second
-	// comfortable is the load, in thousandths, up to which a host is never
-	// relieved: crossing zones to even out idle hosts only costs latency.
-	comfortable = 400
-	// deadBand is the difference from the target, as a share, that is left
-	// alone: reports lag, and chasing noise moves callers for nothing.
+	// stepInterval is the minimum time between two steps of the factors.
+	stepInterval = time.Second
+	// lowLoadPermille is the load below which a host isn't relieved, since crossing
+	// zones only adds latency then.
+	lowLoadPermille = 400
+	// deadBand is the relative difference from the target that is ignored as noise.
 	deadBand = 0.04
-	// gain is the part of a difference that one step makes up for. Callers
-	// follow within the ten seconds that they keep advice, and reports lag a
-	// second or two: a third of a radian of lag at this gain, so it settles.
+	// gain is the fraction of a difference that one step corrects. It is low because
+	// callers follow only within the time that they keep advice, and a higher gain
+	// would oscillate.
 	gain = 0.04
-	// mostShift bounds one step of a factor, as a share: however wrong a
-	// report is, a host loses or gains at most a third of its callers in the
-	// time that advice is kept.
-	mostShift = 0.03
-	// leastFactor and mostFactor bound the factors; between them any mix of
-	// callers' zones can be evened out over seven hosts.
-	leastFactor = 1.0 / 16
-	mostFactor  = 16.0
-	// newHostPart is the part of its zone's mean factor that a new host gets.
-	newHostPart = 0.5
+	// maxStep limits one step of a factor, so that a wrong report can move at most a
+	// third of a host's callers while advice is kept.
+	maxStep = 0.03
+	// minFactor and maxFactor bound the factors.
+	minFactor = 1.0 / 16
+	maxFactor = 16.0
+	// newHostRatio is the factor of a new host relative to the mean of its zone.
+	newHostRatio = 0.5
 )
 
-// Advisor keeps, for each entry host, the factor by which its weight is moved
-// to even out the load. Every host has its own Advisor and follows the same
-// reports, so they agree about; nothing rests on it that they do.
+// Advisor keeps the factor by which each entry host's weight is adjusted to balance the
+// load. Every host has its own Advisor and sees the same reports, so their advice is
+// about the same; it needn't be.
 type Advisor struct {
-	mu      sync.Mutex
-	factors map[ident.HostID]*factor
-	stepped time.Time
+	mu       sync.Mutex
+	factors  map[ident.HostID]*factor
+	lastStep time.Time
 }
 
 type factor struct {
@@ -48,7 +45,7 @@
 	value       float64
 }
 
-// NewAdvisor makes an advisor with all factors at one.
+// NewAdvisor returns an Advisor with all factors at one.
 func NewAdvisor() *Advisor { return &Advisor{factors: make(map[ident.HostID]*factor)} }
 
 func (a *Advisor) factor(id ident.HostID) float64 {
@@ -58,21 +55,15 @@
 	return 1
 }
 
-// Observe takes the reported loads in, at most once a second; call it with
-// each new view or on a timer.
-//
-// Load: hosts of one zone carry most callers, or one host is slower than the
-// others. Harm prevented: it refuses while others idle; or all callers leave
-// it at once, overload the next, and swing back. Reasons for the limits: a
-// step is bounded and callers follow over the time they keep their advice, so
-// the load moves slower than it is measured; differences under 4% are left.
+// Observe updates the factors from the reported loads, at most once per second. Steps
+// are limited so that the load doesn't oscillate between hosts.
 func (a *Advisor) Observe(now time.Time, view *member.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now.Sub(a.stepped) < stepEvery {
+	if now.Sub(a.lastStep) < stepInterval {
 		return
 	}
-	a.stepped = now
+	a.lastStep = now
 	target := targetLoad(view)
 	first := len(a.factors) == 0
 	seen := make(map[ident.HostID]bool, len(view.Hosts))
@@ -85,7 +76,7 @@
 		if f == nil || f.incarnation != host.Incarnation {
 			f = &factor{incarnation: host.Incarnation, value: 1}
 			if !first {
-				f.value = a.firstFactor(view, host)
+				f.value = a.initialFactor(view, host)
 			}
 			a.factors[host.ID] = f
 		}
@@ -98,10 +89,9 @@
 	}
 }
 
-// firstFactor is where a new or restarted host begins: at half of its zone's
-// mean. With one it would be overrun where its zone's hosts had been relieved;
-// and its first requests find it without warm connections.
-func (a *Advisor) firstFactor(view *member.View, host member.Host) float64 {
+// initialFactor returns the factor of a new or restarted host: a part of its zone's
+// mean, since its first requests find it without warm connections.
+func (a *Advisor) initialFactor(view *member.View, host member.Host) float64 {
 	sum, n := 0.0, 0
 	for _, other := range view.Hosts {
 		f := a.factors[other.ID]
@@ -113,11 +103,11 @@
 	if n == 0 {
 		return 1
 	}
-	return newHostPart * sum / float64(n)
+	return newHostRatio * sum / float64(n)
 }
 
-// targetLoad is the load that hosts are moved towards: the mean, but never
-// less than what is comfortable.
+// targetLoad returns the load to balance towards: the mean, but at least
+// lowLoadPermille.
 func targetLoad(view *member.View) float64 {
 	sum, n := 0.0, 0
 	for _, host := range view.Hosts {
@@ -127,21 +117,21 @@
 		}
 	}
 	if n == 0 {
-		return comfortable
+		return lowLoadPermille
 	}
-	return max(comfortable, sum/float64(n))
+	return max(lowLoadPermille, sum/float64(n))
 }
 
 func (f *factor) step(load, target float64) {
 	ratio := target / max(load, 1)
 	switch {
-	case load < comfortable && target <= comfortable:
-		// Nothing is loaded: go back to zones alone.
+	case load < lowLoadPermille && target <= lowLoadPermille:
+		// No host is loaded: return to the base weights.
 		ratio = 1 / f.value
 	case math.Abs(ratio-1) <= deadBand:
 		return
 	}
 	shift := math.Pow(ratio, gain)
-	shift = min(max(shift, 1-mostShift), 1+mostShift)
-	f.value = min(max(f.value*shift, leastFactor), mostFactor)
+	shift = min(max(shift, 1-maxStep), 1+maxStep)
+	f.value = min(max(f.value*shift, minFactor), maxFactor)
 }
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -6,28 +6,26 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// FilterRegions is the view without the hosts of other regions. Where there are none it is the
-// view itself: most fleets have one region, and each caller asks once a second.
+// FilterRegions returns the view restricted to the hosts of the given regions. It returns
+// the view itself, without a copy, if all hosts are in them.
 func FilterRegions(view *member.View, regions ...string) *member.View {
-	elsewhere := func(h member.Host) bool { return !slices.Contains(regions, h.Region) }
-	if !slices.ContainsFunc(view.Hosts, elsewhere) {
+	outside := func(h member.Host) bool { return !slices.Contains(regions, h.Region) }
+	if !slices.ContainsFunc(view.Hosts, outside) {
 		return view
 	}
-	kept := *view
-	kept.Hosts = slices.DeleteFunc(slices.Clone(view.Hosts), elsewhere)
-	return &kept
+	filtered := *view
+	filtered.Hosts = slices.DeleteFunc(slices.Clone(view.Hosts), outside)
+	return &filtered
 }
 
-// RegionOrder lists the sets of regions whose hosts a caller should use, best first; the
-// hosts of the first set that has any are advised, and those of all regions if none has.
-// bound are the regions that the caller's requests are bound to; empty: none. serves
-// tells whether backend servers stand in a region.
+// RegionOrder returns the sets of regions whose hosts a caller should use, best first.
+// The hosts of the first set that has any are advised, or those of all regions if none
+// has. bound are the regions that the caller's requests are restricted to, if any;
+// serves reports whether a region has backend servers.
 //
-// Load: regions are milliseconds apart, and the requests of some callers may be seen in
-// some regions only. Harm prevented: each request crosses regions twice, or is seen by a
-// host where it must not be. Reason for the order: the caller's own region where it may
-// be served there; else the regions that it is bound to, so that one hop crosses and not
-// each part; else its own, whose hosts pass requests on.
+// The caller's own region comes first if it may serve the request there; otherwise the
+// regions that the caller is bound to, so that only one hop crosses regions; then its
+// own, whose hosts forward requests.
 func RegionOrder(own string, bound []string, serves func(region string) bool) [][]string {
 	var order [][]string
 	switch {
