--- a/eligible/warmup.go
+++ b/eligible/warmup.go
@@ -75,7 +75,7 @@
 
 // SlidingWindow limits the number of requests to a server in any second. The zero value
 // is ready to use.
-type Starts struct {
+type SlidingWindow struct {
 	sent []time.Time // send times, ascending, at most limit many
 }
 
@@ -83,7 +83,7 @@
 const slidingWindow = 1100 * time.Millisecond
 
 // Record adds a request.
-func (w *Starts) Note(now time.Time, limit int) {
+func (w *SlidingWindow) Record(now time.Time, limit int) {
 	w.sent = append(w.sent, now)
 	if extra := len(w.sent) - max(limit, 1); extra > 0 {
 		w.sent = append(w.sent[:0], w.sent[extra:]...)
@@ -92,7 +92,7 @@
 
 // NextAllowed returns when one more request keeps the limit; the zero time means at
 // once. It isn't meaningful for a limit of 0.
-func (w *Starts) NextAt(limit int) time.Time {
+func (w *SlidingWindow) NextAllowed(limit int) time.Time {
 	if len(w.sent) < limit || limit == 0 {
 		return time.Time{}
 	}
@@ -100,6 +100,6 @@
 }
 
 // Allows reports whether one more request now keeps the limit.
-func (w *Starts) Allows(now time.Time, limit int) bool {
-	return limit > 0 && !now.Before(w.NextAt(limit))
+func (w *SlidingWindow) Allows(now time.Time, limit int) bool {
+	return limit > 0 && !now.Before(w.NextAllowed(limit))
 }
--- a/home/cold.go
+++ b/home/cold.go
@@ -34,7 +34,7 @@
 	if s.spec.Warmup.PerSecond == 0 {
 		return until
 	}
-	if next := s.coldStarts.NextAt(s.spec.Warmup.PerSecond); next.Before(until) {
+	if next := s.coldStarts.NextAllowed(s.spec.Warmup.PerSecond); next.Before(until) {
 		return next
 	}
 	return until
@@ -43,7 +43,7 @@
 // recordStart counts an attempt against the limit on a cold server.
 func (s *server) recordStart(now time.Time) {
 	if s.spec.Warmup.Duration > 0 {
-		s.coldStarts.Note(now, s.spec.Warmup.PerSecond)
+		s.coldStarts.Record(now, s.spec.Warmup.PerSecond)
 	}
 }
 
--- a/home/server.go
+++ b/home/server.go
@@ -53,8 +53,8 @@
 
 	pipeline pipeline
 
-	coldStarts       eligible.Starts // attempts sent while cold
-	assumedColdUntil time.Time       // counts as cold until then, after a failed connection
+	coldStarts       eligible.SlidingWindow // attempts sent while cold
+	assumedColdUntil time.Time              // counts as cold until then, after a failed connection
 
 	reportedOthers int // requests of other hosts, as last reported by the server
 	reportedAt     time.Time
