--- a/eligible/eligible.go
+++ b/eligible/eligible.go
@@ -32,9 +32,9 @@
 	Evacuations *Evacuations
 	// Regions maps availability zones to their regions.
 	Regions map[string]string
-	// Cold holds the end of the cold period of each cold server with a warm-up limit,
+	// ColdUntil holds the end of the cold period of each cold server with a warm-up limit,
 	// by server name.
-	Cold map[string]time.Time
+	ColdUntil map[string]time.Time
 }
 
 // CheckZone decides whether a request restricted to the regions may go to servers of the
@@ -61,7 +61,7 @@
 	if reason := r.CheckZone(zone, regions); reason != Allowed {
 		return reason
 	}
-	if now.Before(r.Cold[server]) {
+	if now.Before(r.ColdUntil[server]) {
 		return Cold
 	}
 	return Allowed
--- a/entry/advisor.go
+++ b/entry/advisor.go
@@ -55,9 +55,9 @@
 	return 1
 }
 
-// Observe updates the factors from the reported loads, at most once per second. Steps
+// UpdateLoads updates the factors from the reported loads, at most once per second. Steps
 // are limited so that the load doesn't oscillate between hosts.
-func (a *Advisor) Observe(now time.Time, view *member.View) {
+func (a *Advisor) UpdateLoads(now time.Time, view *member.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if now.Sub(a.lastStep) < stepInterval {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -11,9 +11,9 @@
 
 // Request is a caller's request as it is sent to a backend server.
 type Request struct {
-	// Attempt is the caller's id of this attempt. Backend servers echo it.
-	Attempt string
-	Method  string
+	// AttemptID is the caller's id of this attempt. Backend servers echo it.
+	AttemptID string
+	Method    string
 	// Target is the path and query, exactly as the caller sent them.
 	Target string
 	Host   string
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -20,7 +20,7 @@
 }
 
 // Run implements backend.Runner.
-func (r loggingRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r loggingRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.CallResult {
 	r.attempts.Add(1)
 	started := r.now()
 	attempt := r.runner.Run(ctx, server, call)
@@ -28,7 +28,7 @@
 		return attempt
 	}
 	r.log.Info("attempt gave no answer",
-		zap.String("request", call.Forward.Attempt), zap.String("service", call.Service),
+		zap.String("request", call.Forward.AttemptID), zap.String("service", call.Service),
 		zap.String("server", server.Name), zap.String("address", server.Address),
 		zap.Stringer("fault", attempt.Fault), zap.Bool("not_run", attempt.Outcome.NotRun()),
 		zap.Int("server_running", attempt.Reply.Load.Running), zap.Int("server_waiting", attempt.Reply.Load.Queued),
--- a/gateway/cross_zone.go
+++ b/gateway/cross_zone.go
@@ -55,7 +55,7 @@
 }
 
 // Run implements backend.Runner.
-func (r *crossZoneRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r *crossZoneRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.CallResult {
 	if server.Zone == r.zone {
 		return r.direct.Run(ctx, server, call)
 	}
@@ -113,7 +113,7 @@
 
 // runThrough runs the call through a peer. made is false if the call certainly has not
 // reached the server.
-func (r *crossZoneRunner) runThrough(ctx context.Context, address string, server backend.Server, call backend.Call) (attempt backend.Attempt, made bool) {
+func (r *crossZoneRunner) runThrough(ctx context.Context, address string, server backend.Server, call backend.Call) (attempt backend.CallResult, made bool) {
 	request := leg.Request{
 		Request: call.Request, Service: call.Service, Shard: call.Shard, Snapshot: call.Snapshot,
 		Deadline: call.Deadline, Idempotent: true, Body: call.Body, Forward: call.Forward,
@@ -128,14 +128,14 @@
 		}
 		return attempt, true
 	case !time.Now().Before(call.Deadline):
-		return backend.Attempt{Outcome: res.Outcome, Fault: backend.FaultDeadline}, true
+		return backend.CallResult{Outcome: res.Outcome, Fault: backend.FaultDeadline}, true
 	case ctx.Err() != nil:
-		return backend.Attempt{Outcome: res.Outcome, Fault: backend.FaultCancelled}, true
+		return backend.CallResult{Outcome: res.Outcome, Fault: backend.FaultCancelled}, true
 	case res.Outcome.NotRun():
-		return backend.Attempt{}, false
+		return backend.CallResult{}, false
 	default:
-		r.log.Info("peer that a part went through is lost", zap.String("request", call.Forward.Attempt), zap.String("peer", address), zap.String("server", server.Name))
-		return backend.Attempt{Outcome: res.Outcome, Fault: backend.FaultPeerLost}, true
+		r.log.Info("peer that a part went through is lost", zap.String("request", call.Forward.AttemptID), zap.String("peer", address), zap.String("server", server.Name))
+		return backend.CallResult{Outcome: res.Outcome, Fault: backend.FaultPeerLost}, true
 	}
 }
 
--- a/gateway/eligibility.go
+++ b/gateway/eligibility.go
@@ -19,13 +19,13 @@
 }
 
 // Run implements backend.Runner.
-func (r eligibilityRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r eligibilityRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.CallResult {
 	reason := r.check(server, call)
 	if reason == eligible.Allowed {
 		return r.runner.Run(ctx, server, call)
 	}
-	r.log.Info("attempt was held back", zap.String("request", call.Forward.Attempt), zap.String("server", server.Name), zap.String("zone", server.Zone), zap.Stringer("reason", reason))
-	return backend.Attempt{Outcome: result.OutcomeUnsent, Fault: backend.FaultNotAllowed}
+	r.log.Info("attempt was held back", zap.String("request", call.Forward.AttemptID), zap.String("server", server.Name), zap.String("zone", server.Zone), zap.Stringer("reason", reason))
+	return backend.CallResult{Outcome: result.OutcomeUnsent, Fault: backend.FaultNotAllowed}
 }
 
 // checkOwn decides on attempts whose server a home on this host has chosen.
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -66,6 +66,6 @@
 	return &eligible.Rules{
 		Evacuations: g.evacuations.current,
 		Regions:     g.options.Regions,
-		Cold:        make(map[string]time.Time),
+		ColdUntil:   make(map[string]time.Time),
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -276,7 +276,7 @@
 	}
 	config, err := g.options.Decode.Config(object)
 	if err != nil {
-		g.log.Error("failed to decode configuration; keeping the current one", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
+		g.log.Error("failed to decode configuration; keeping the current one", observe.Revision("revision", object.Revision), zap.String("source", source), observe.ErrorText(err))
 		return
 	}
 	if previous != nil && config.Version < previous.version() {
@@ -285,7 +285,7 @@
 	}
 	next, err := newConfiguration(object.Revision, config)
 	if err != nil {
-		g.log.Error("invalid configuration; keeping the current one", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
+		g.log.Error("invalid configuration; keeping the current one", observe.Revision("revision", object.Revision), zap.String("source", source), observe.ErrorText(err))
 		return
 	}
 	g.inForce.Store(next)
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -124,7 +124,7 @@
 
 // homePartKey identifies a part by the caller's attempt and its service.
 func homePartKey(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, source: request.Service}
+	return partKey{attempt: request.Forward.AttemptID, source: request.Service}
 }
 
 // fullPartFetcher returns a function that fetches all records of a part that a peer truncated.
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -47,7 +47,7 @@
 		}
 		written, err := g.registerOnce(ctx)
 		if err != nil {
-			g.log.Warn("registration failed; retrying", observe.Reason(err))
+			g.log.Warn("registration failed; retrying", observe.ErrorText(err))
 			delay = registerRetryDelay
 			continue
 		}
@@ -69,7 +69,7 @@
 	for _, object := range entries {
 		var entry hostEntry
 		if err := json.Unmarshal(object.Value, &entry); err != nil {
-			g.log.Warn("failed to decode a host's entry", zap.String("key", object.Key), observe.Reason(err))
+			g.log.Warn("failed to decode a host's entry", zap.String("key", object.Key), observe.ErrorText(err))
 			continue
 		}
 		if object.Key == key {
@@ -89,6 +89,6 @@
 	if errors.Is(err, metastore.ErrConflict) {
 		return 0, errors.Wrap(err, "own entry was changed concurrently")
 	}
-	g.log.Info("registered", zap.Int("hosts_listed", len(entries)), observe.Reason(err))
+	g.log.Info("registered", zap.Int("hosts_listed", len(entries)), observe.ErrorText(err))
 	return written.Revision, errors.Wrap(err, "write own entry")
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithTimeout(runCtx, leaveTimeout)
 	defer cancel()
 	if err := g.members.Leave(ctx); err != nil {
-		g.log.Warn("failed to announce the stop to peers", observe.Reason(err))
+		g.log.Warn("failed to announce the stop to peers", observe.ErrorText(err))
 	}
 	stop.Wait(runCtx, g.options.Now, func() int { return int(g.inFlight.Load() + g.homeLegRunner.running.Load()) }, g.log)
 }
--- a/gateway/zone_proxy.go
+++ b/gateway/zone_proxy.go
@@ -109,10 +109,10 @@
 	}
 	res := leg.Failed(request, 0, result.OutcomeRan, "")
 	res.Body = body
-	res.Attempt = &backend.Attempt{Outcome: result.OutcomeRan}
+	res.Attempt = &backend.CallResult{Outcome: result.OutcomeRan}
 	return res
 }
 
 func proxyPartKey(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, source: request.DirectServer}
+	return partKey{attempt: request.Forward.AttemptID, source: request.DirectServer}
 }
--- a/home/attempt_end.go
+++ b/home/attempt_end.go
@@ -99,7 +99,7 @@
 	s := a.server
 	s.faultRate.record(now, true)
 	s.assumeRestarted(now, end)
-	if end.Fault == backend.FaultDeadline || end.Fault == backend.FaultSilent {
+	if end.Fault == backend.FaultDeadline || end.Fault == backend.FaultUnresponsive {
 		s.serviceTimes[a.leg.Class].add(now, now.Sub(a.started), false)
 	}
 	if !s.recordFault() {
--- a/home/retry.go
+++ b/home/retry.go
@@ -115,7 +115,7 @@
 	case end.Outcome == result.OutcomeUnknown:
 		return l.unknownCount < maxUnknownOutcomes
 	default:
-		return end.Fault == backend.FaultSnapshotMismatch || (l.Forwarded && end.Fault == backend.FaultServer)
+		return end.Fault == backend.FaultSnapshotMismatch || (l.Forwarded && end.Fault == backend.FaultServerError)
 	}
 }
 
--- a/home/server.go
+++ b/home/server.go
@@ -260,8 +260,8 @@
 // missing snapshots and cancelled calls don't.
 func isServerFault(end AttemptResult) bool {
 	switch end.Fault {
-	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultSilent, backend.FaultBroken,
-		backend.FaultHalfReply, backend.FaultCrossed, backend.FaultServer:
+	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultUnresponsive, backend.FaultConnectionLost,
+		backend.FaultCorruptReply, backend.FaultMisroutedReply, backend.FaultServerError:
 		return true
 	default:
 		return false
--- a/leg/leg.go
+++ b/leg/leg.go
@@ -80,7 +80,7 @@
 	RetryAfter time.Duration
 	// Attempt is how the attempt at a directly addressed server ended; nil if none was
 	// made or its end isn't known.
-	Attempt *backend.Attempt
+	Attempt *backend.CallResult
 	// Truncated is set if Body holds only the greatest records.
 	Truncated bool
 	// Forecast is the home's forecast for the next leg; nil if it sent none.
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -37,8 +37,8 @@
 	Hosts    []HostStatus `json:"hosts"`
 }
 
-// Lagging returns how many hosts are behind or did not answer.
-func (s FleetStatus) Lagging() int {
+// LaggingHosts returns how many hosts are behind or did not answer.
+func (s FleetStatus) LaggingHosts() int {
 	n := 0
 	for _, host := range s.Hosts {
 		if host.GenerationsBehind > 0 || host.Error != "" {
