--- a/client/advice.go
+++ b/client/advice.go
@@ -13,67 +13,67 @@
 	"github.com/goldcrestspan/goldcrestspan/entry"
 )
 
-// avoidFor is how long a host that refused a connection or named others is
-// passed over, unless no other is left.
-const avoidFor = 2 * time.Second
-
-// hosts is the list of entry hosts in use: the advice while it may be kept,
-// the seeds of the options before the first advice and when none can be had.
-type hosts struct {
-	mu     sync.Mutex
-	seeds  []string
-	hosts  []entry.Host
-	until  time.Time
-	avoid  map[string]time.Time
-	asking bool
+// avoidDuration is how long a host that failed or refused a request is avoided
+// while another host is available.
+const avoidDuration = 2 * time.Second
+
+// hostPool selects entry hosts: the advised hosts until the advice expires, and
+// the seeds of the options while no advised host is available.
+type hostPool struct {
+	mu         sync.Mutex
+	seeds      []string
+	advice     []entry.Host
+	expires    time.Time
+	avoidUntil map[string]time.Time
+	refreshing bool
 }
 
-func newHosts(seeds []string) *hosts {
-	return &hosts{seeds: seeds, avoid: make(map[string]time.Time)}
+func newHostPool(seeds []string) *hostPool {
+	return &hostPool{seeds: seeds, avoidUntil: make(map[string]time.Time)}
 }
 
-// stale reports whether to ask for advice now; one goroutine asks at a time.
-func (h *hosts) stale(now time.Time) bool {
+// startRefresh reports whether the calling goroutine should request new advice.
+// Only one goroutine refreshes at a time.
+func (h *hostPool) startRefresh(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Before(h.until) || h.asking {
+	if now.Before(h.expires) || h.refreshing {
 		return false
 	}
-	h.asking = true
+	h.refreshing = true
 	return true
 }
 
-func (h *hosts) keep(a entry.Advice, now time.Time) {
+func (h *hostPool) setAdvice(advice entry.Advice, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asking = false
-	if len(a.Hosts) == 0 {
+	h.refreshing = false
+	if len(advice.Hosts) == 0 {
 		return
 	}
-	h.hosts = a.Hosts
-	h.until = now.Add(time.Duration(a.TTLMillis) * time.Millisecond)
+	h.advice = advice.Hosts
+	h.expires = now.Add(time.Duration(advice.TTLMillis) * time.Millisecond)
 }
 
-func (h *hosts) notAsked() {
+func (h *hostPool) refreshFailed() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asking = false
+	h.refreshing = false
 }
 
-// pass marks a host to be avoided for a while. When that was the last advised
-// one, the advice is of no more use.
-func (h *hosts) pass(address string, now time.Time) {
+// markUnavailable avoids a host for avoidDuration. If no advised host is left,
+// the advice expires at once.
+func (h *hostPool) markUnavailable(address string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.avoid[address] = now.Add(avoidFor)
-	if fresh, _ := h.split(h.hosts, now, nil); len(fresh) == 0 {
-		h.until = time.Time{}
+	h.avoidUntil[address] = now.Add(avoidDuration)
+	if available, _ := h.filter(h.advice, now, nil); len(available) == 0 {
+		h.expires = time.Time{}
 	}
 }
 
-// pick draws a host by weight, leaving out those to be avoided while there is
-// another one.
-func (h *hosts) pick(now time.Time, tried map[string]bool) string {
+// pick returns a random host, weighted by the advice.
+func (h *hostPool) pick(now time.Time, tried map[string]bool) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	candidates := h.candidates(now, tried)
@@ -81,28 +81,25 @@
 	for _, c := range candidates {
 		total += c.Weight
 	}
-	at := rand.Float64() * total
+	point := rand.Float64() * total
 	for _, c := range candidates {
-		if at -= c.Weight; at < 0 {
+		if point -= c.Weight; point < 0 {
 			return c.Address
 		}
 	}
 	return candidates[len(candidates)-1].Address
 }
 
-// candidates are the advised hosts to choose from.
-//
-// Failure: every advised host dies while the advice may still be kept. It shows
-// as refused connections until the advice lapses, though other hosts serve. The
-// guard holds because the seeds come next, and pass has the advice renewed.
-func (h *hosts) candidates(now time.Time, tried map[string]bool) []entry.Host {
-	all := h.advised()
-	fresh, untried := h.split(all, now, tried)
-	if len(fresh) > 0 {
-		return fresh
+// candidates returns the hosts to choose from: advised hosts that are not
+// avoided, then such seeds, then untried hosts, then any host.
+func (h *hostPool) candidates(now time.Time, tried map[string]bool) []entry.Host {
+	all := h.advisedOrSeeds()
+	available, untried := h.filter(all, now, tried)
+	if len(available) > 0 {
+		return available
 	}
-	if fresh, _ = h.split(h.seedHosts(), now, tried); len(fresh) > 0 {
-		return fresh
+	if available, _ = h.filter(h.seedHosts(), now, tried); len(available) > 0 {
+		return available
 	}
 	if len(untried) > 0 {
 		return untried
@@ -110,15 +107,16 @@
 	return all
 }
 
-// advised are the hosts of the last advice, or the seeds before the first.
-func (h *hosts) advised() []entry.Host {
-	if len(h.hosts) > 0 {
-		return h.hosts
+// advisedOrSeeds returns the hosts of the last advice, or the seeds if there is
+// none.
+func (h *hostPool) advisedOrSeeds() []entry.Host {
+	if len(h.advice) > 0 {
+		return h.advice
 	}
 	return h.seedHosts()
 }
 
-func (h *hosts) seedHosts() []entry.Host {
+func (h *hostPool) seedHosts() []entry.Host {
 	all := make([]entry.Host, len(h.seeds))
 	for i, seed := range h.seeds {
 		all[i] = entry.Host{Address: seed, Weight: 1}
@@ -126,51 +124,53 @@
 	return all
 }
 
-// split leaves out what was tried, and in fresh also what is to be avoided.
-func (h *hosts) split(all []entry.Host, now time.Time, tried map[string]bool) (fresh, untried []entry.Host) {
+// filter returns the hosts that were not tried, and those of them that are not
+// avoided.
+func (h *hostPool) filter(all []entry.Host, now time.Time, tried map[string]bool) (available, untried []entry.Host) {
 	for _, c := range all {
 		if tried[c.Address] || c.Weight <= 0 {
 			continue
 		}
 		untried = append(untried, c)
-		if now.After(h.avoid[c.Address]) {
-			fresh = append(fresh, c)
+		if now.After(h.avoidUntil[c.Address]) {
+			available = append(available, c)
 		}
 	}
-	return fresh, untried
+	return available, untried
 }
 
-// refresh asks one host for advice. It asks any known host: each can answer.
-func (c *Client) refresh(ctx context.Context) {
+// refreshAdvice requests advice from any known host.
+func (c *Client) refreshAdvice(ctx context.Context) {
 	address := c.hosts.pick(c.options.Now(), nil)
 	request, err := c.newRequest(ctx, http.MethodGet, address, "/v1/hosts?zone="+c.options.Zone, nil)
 	if err != nil {
-		c.hosts.notAsked()
+		c.hosts.refreshFailed()
 		return
 	}
 	reply, err := c.send(request)
-	var a entry.Advice
-	if err != nil || reply.status != http.StatusOK || json.Unmarshal(reply.body, &a) != nil {
-		c.hosts.pass(address, c.options.Now())
-		c.hosts.notAsked()
+	var advice entry.Advice
+	if err != nil || reply.status != http.StatusOK || json.Unmarshal(reply.body, &advice) != nil {
+		c.hosts.markUnavailable(address, c.options.Now())
+		c.hosts.refreshFailed()
 		return
 	}
-	c.hosts.keep(a, c.options.Now())
+	c.hosts.setAdvice(advice, c.options.Now())
 }
 
-// Hosts returns the entry hosts that the system advises this caller to use,
-// callers' listeners as IP and port. It asks if the last advice has lapsed.
+// Hosts returns the addresses (IP and port) of the entry hosts that this caller
+// is advised to use. It requests new advice if the last one has expired. If none
+// is available, it returns the seeds and an error.
 func (c *Client) Hosts(ctx context.Context) ([]string, error) {
-	if c.hosts.stale(c.options.Now()) {
-		c.refresh(ctx)
+	if c.hosts.startRefresh(c.options.Now()) {
+		c.refreshAdvice(ctx)
 	}
 	c.hosts.mu.Lock()
 	defer c.hosts.mu.Unlock()
-	if len(c.hosts.hosts) == 0 {
-		return c.hosts.seeds, errors.New("client: no advice could be had; these are the seeds")
+	if len(c.hosts.advice) == 0 {
+		return c.hosts.seeds, errors.New("client: no advice available; returning the seeds")
 	}
-	addresses := make([]string, len(c.hosts.hosts))
-	for i, host := range c.hosts.hosts {
+	addresses := make([]string, len(c.hosts.advice))
+	for i, host := range c.hosts.advice {
 		addresses[i] = host.Address
 	}
 	return addresses, nil
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// A booking is sent under a ticket. Sent again, as after a lost reply, it does
-// not run again: the first one's outcome comes back.
+// A booking that is sent again with the same ticket, as after a lost reply, does
+// not run again: the outcome of the first one is returned.
 func ExampleClient_Book() {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -49,7 +49,7 @@
 	// runs: 1
 }
 
-// startBed stands for the system that a caller has before it.
+// startBed starts a test fleet of entry hosts and backend servers.
 func startBed(ctx context.Context) (*testbed.Bed, error) {
 	return testbed.Start(ctx, testbed.Config{
 		Hosts: 1,
--- a/client/transport.go
+++ b/client/transport.go
@@ -18,21 +18,20 @@
 )
 
 const (
-	maxIdlePerHost = 32
-	idleTimeout    = 30 * time.Second
-	// maxReplyBytes bounds what a reply may cost the caller's memory.
-	maxReplyBytes = 64 << 20
+	maxIdleConnsPerHost = 32
+	idleConnTimeout     = 30 * time.Second
+	maxReplyBytes       = 64 << 20
 )
 
-// unsentError is a failure before any byte of the request was written: it ran
-// nowhere.
+// unsentError is a failure before any byte of the request was written, so that
+// the request did not run.
 type unsentError struct{ cause error }
 
-func (e *unsentError) Error() string { return "client: not sent: " + e.cause.Error() }
+func (e *unsentError) Error() string { return "client: request not sent: " + e.cause.Error() }
 func (e *unsentError) Unwrap() error { return e.cause }
 
-// sending is one sending of a request.
-type sending struct {
+// outgoingRequest is one attempt of a request.
+type outgoingRequest struct {
 	path   string
 	body   []byte
 	resent bool
@@ -43,37 +42,37 @@
 	body   []byte
 }
 
-func (r httpReply) decode(want int, into any) error {
-	if r.status != want {
+func (r httpReply) decode(wantStatus int, into any) error {
+	if r.status != wantStatus {
 		answer := &Answer{}
 		if json.Unmarshal(r.body, answer) == nil && answer.Code != 0 {
-			return errorOf(answer)
+			return resultError(answer)
 		}
-		return errors.Errorf("client: HTTP status %d", r.status)
+		return errors.Errorf("client: unexpected HTTP status %d", r.status)
 	}
-	return errors.Wrap(json.Unmarshal(r.body, into), "client: the reply is not JSON")
+	return errors.Wrap(json.Unmarshal(r.body, into), "client: decode the reply")
 }
 
-// try sends a request to one host that was not tried yet.
-func (c *Client) try(ctx context.Context, s sending, tried map[string]bool) (httpReply, error) {
-	if c.hosts.stale(c.options.Now()) {
-		c.refresh(ctx)
+// sendToHost sends a request to one host, if possible one that was not tried.
+func (c *Client) sendToHost(ctx context.Context, outgoing outgoingRequest, tried map[string]bool) (httpReply, error) {
+	if c.hosts.startRefresh(c.options.Now()) {
+		c.refreshAdvice(ctx)
 	}
 	address := c.hosts.pick(c.options.Now(), tried)
 	tried[address] = true
-	request, err := c.newRequest(ctx, http.MethodPost, address, s.path, s.body)
+	request, err := c.newRequest(ctx, http.MethodPost, address, outgoing.path, outgoing.body)
 	if err != nil {
 		return httpReply{}, &unsentError{err}
 	}
-	if s.resent {
+	if outgoing.resent {
 		request.Header.Set(front.HeaderResent, "true")
 	}
 	reply, err := c.send(request)
 	if err != nil {
-		c.hosts.pass(address, c.options.Now())
+		c.hosts.markUnavailable(address, c.options.Now())
 	}
 	if reply.status == http.StatusServiceUnavailable {
-		c.hosts.pass(address, c.options.Now())
+		c.hosts.markUnavailable(address, c.options.Now())
 	}
 	return reply, err
 }
@@ -83,8 +82,8 @@
 	if c.options.TLS != nil {
 		scheme = "https://"
 	}
-	// The reader hides its type from net/http, which could otherwise send the
-	// body again by itself on another connection.
+	// MultiReader hides the body's type: net/http must not resend the body by
+	// itself on another connection.
 	var reader io.Reader
 	if body != nil {
 		reader = io.MultiReader(bytes.NewReader(body))
@@ -100,10 +99,10 @@
 	return request, nil
 }
 
-// send does one HTTP exchange and believes only a whole reply.
+// send does one HTTP exchange and accepts only a complete, intact reply.
 func (c *Client) send(request *http.Request) (httpReply, error) {
-	// Once there is a connection, some of the request may leave at any moment,
-	// also after Do has returned; only without one is it surely unsent.
+	// Once there is a connection, net/http may write the request at any time,
+	// even after Do has returned. Without one the request is certainly unsent.
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
@@ -117,10 +116,10 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return httpReply{}, errors.Wrap(err, "client: half a reply")
+		return httpReply{}, errors.Wrap(err, "client: read the reply")
 	}
-	want := response.Header.Get(front.HeaderDigest)
-	if want != strconv.FormatUint(xxhash.Sum64(body), 16) {
+	digest := response.Header.Get(front.HeaderDigest)
+	if digest != strconv.FormatUint(xxhash.Sum64(body), 16) {
 		return httpReply{}, errors.New("client: the reply does not match its digest")
 	}
 	return httpReply{status: response.StatusCode, body: body}, nil
