--- a/observe/log.go
+++ b/observe/log.go
@@ -7,7 +7,7 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// NewLogger makes the host's logger, which writes to standard error. Level is
+// NewLogger returns the host's logger, which writes to standard error. Level is
 // debug, info, warn or error; format is json or console.
 func NewLogger(level, format string) (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
@@ -17,7 +17,7 @@
 	if level != "" {
 		parsed, err := zap.ParseAtomicLevel(level)
 		if err != nil {
-			return nil, errors.Wrap(err, "log level")
+			return nil, errors.Wrap(err, "parse log level")
 		}
 		config.Level = parsed
 	}
@@ -25,8 +25,7 @@
 	return config.Build()
 }
 
-// Reason writes an error without the stack of where it was made, which costs
-// a page of log for each line.
+// Reason returns the field "error" with the text of err, without its stack trace.
 func Reason(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
@@ -34,7 +33,8 @@
 	return zap.String("error", err.Error())
 }
 
-// Revision is a revision of the metadata store as a field: its era, a slash and its counter.
+// Revision returns a field with a revision of the metadata store, written as
+// era/counter.
 func Revision(key string, revision metastore.Revision) zap.Field {
 	return zap.Stringer(key, revision)
 }
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -1,5 +1,4 @@
-// Package observe owns metrics and logs: counters and histograms first, log
-// lines only for changes of state.
+// Package observe provides the metrics and loggers of an entry host.
 package observe
 
 import (
@@ -13,14 +12,14 @@
 	"github.com/goldcrestspan/goldcrestspan/scatter"
 )
 
-// nativeBucketFactor makes native histograms with buckets 10% apart.
+// nativeBucketFactor is the ratio between the bounds of adjacent buckets.
 const nativeBucketFactor = 1.1
 
-// nativeMaxBuckets bounds one histogram's memory.
+// nativeMaxBuckets limits the memory of one histogram.
 const nativeMaxBuckets = 160
 
-// Metrics are the counters of the served path. Labels are bounded: callers and
-// classes by the bundle, services by the bundle, codes and faults by the code.
+// Metrics are the counters and histograms of request handling. The number of
+// label values is bounded by the bundle and by the known codes and faults.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	latency   *prometheus.HistogramVec
@@ -33,7 +32,7 @@
 	restarts  prometheus.Counter
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(reg prometheus.Registerer) (*Metrics, error) {
 	m := &Metrics{
 		requests:  counter("requests_total", "Requests by caller, class and result code.", "caller", "class", "code"),
@@ -46,11 +45,11 @@
 		failovers: prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "leg_failovers_total", Help: "Legs that moved to the second home."}),
 		restarts:  prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "query_restarts_total", Help: "Queries restarted whole on another snapshot."}),
 	}
-	for _, c := range []prometheus.Collector{
+	for _, collector := range []prometheus.Collector{
 		m.requests, m.latency, m.coverage, m.verdicts, m.attempts,
 		m.faults, m.cancelled, m.failovers, m.restarts,
 	} {
-		if err := reg.Register(c); err != nil {
+		if err := reg.Register(collector); err != nil {
 			return nil, err
 		}
 	}
@@ -73,13 +72,13 @@
 	}, labels)
 }
 
-// Request counts a finished request of an authenticated caller.
+// Request records a finished request of an authenticated caller.
 func (m *Metrics) Request(caller, class string, code result.Code, took time.Duration) {
 	m.requests.WithLabelValues(caller, class, code.String()).Inc()
 	m.latency.WithLabelValues(caller, class).Observe(took.Seconds())
 }
 
-// Coverage notes the share of shards of one answer.
+// Coverage records the fraction of shards in one answer.
 func (m *Metrics) Coverage(caller, class string, have, total int) {
 	m.coverage.WithLabelValues(caller, class).Observe(float64(have) / float64(total))
 }
