--- a/ident/ident.go
+++ b/ident/ident.go
@@ -1,6 +1,6 @@
-// Package ident holds the identifiers that travel on every hop of a request:
-// they are echoed by the other side and checked, so that a late or crossed
-// reply is never taken for another request's.
+// Package ident defines the identifiers of requests, attempts, hosts and
+// processes. They are echoed in replies and checked, so that a late or misrouted
+// reply is never matched to another request.
 package ident
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/pkg/errors"
 )
 
-// RequestID names one request of a caller, unique across the fleet.
+// RequestID identifies one request of a caller across the fleet.
 type RequestID [16]byte
 
-// NewRequestID draws a random identifier from the operating system.
+// NewRequestID returns a random identifier.
 func NewRequestID() RequestID {
 	var id RequestID
-	_, _ = rand.Read(id[:]) // documented never to fail
+	_, _ = rand.Read(id[:]) // never fails
 	return id
 }
 
-// ParseRequestID reads the 32 hexadecimal digits that String writes.
+// ParseRequestID parses the output of String.
 func ParseRequestID(s string) (RequestID, error) {
 	var id RequestID
 	raw, err := hex.DecodeString(s)
@@ -33,31 +33,30 @@
 	return id, nil
 }
 
-// String writes the identifier as 32 hexadecimal digits.
+// String returns the identifier as 32 hexadecimal digits.
 func (id RequestID) String() string { return hex.EncodeToString(id[:]) }
 
-// Less orders identifiers; it breaks ties between equal deadlines the same
-// way on every host.
+// Less orders identifiers, so that every host breaks ties between equal
+// deadlines the same way.
 func (id RequestID) Less(other RequestID) bool {
 	return string(id[:]) < string(other[:])
 }
 
-// AttemptID numbers the attempts of one host incarnation, from 1.
+// AttemptID numbers the attempts of one host incarnation, starting at 1.
 type AttemptID uint64
 
 // HostID is the name of an entry host, from its settings. It is kept across
-// restarts; the Incarnation tells one life of the host from the next.
+// restarts, unlike the Incarnation.
 type HostID string
 
-// Incarnation tells one life of a process from another at the same address.
-// The upper 42 bits are the start time in milliseconds since 1970, so later
-// lives usually compare higher; the lower 22 bits are random, so two lives
-// never compare equal. No safety property leans on the order.
+// Incarnation distinguishes the successive processes at one address. The upper
+// 42 bits are the start time in Unix milliseconds and the lower 22 bits are
+// random. Later processes usually compare higher, but nothing depends on it.
 type Incarnation uint64
 
 const incarnationRandomBits = 22
 
-// NewIncarnation makes the incarnation of a process that starts at now.
+// NewIncarnation returns the incarnation of a process that starts at now.
 func NewIncarnation(now time.Time) Incarnation {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:])
