--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,5 +1,5 @@
-// Package connlimit bounds callers' connections by limits that change while a
-// server runs: net/http reads its own time-outs once.
+// Package connlimit applies timeouts to a server's connections that can change
+// while the server runs, unlike those of http.Server.
 package connlimit
 
 import (
@@ -9,56 +9,53 @@
 	"time"
 )
 
-// Limits bound one connection; zero values leave the server's own bound.
+// Limits are the timeouts of a connection. A zero value leaves the server's own.
 type Limits struct {
-	// Header is how long the head of a request may take.
+	// Header is the time limit for reading a request's header.
 	Header time.Duration
-	// Idle is how long a connection may rest between two requests.
+	// Idle is the time limit for waiting for the next request.
 	Idle time.Duration
 }
 
-// Listener wraps the connections of a listener; limits is asked for each bound.
+// Listener wraps a listener so that its connections observe the current limits.
 func Listener(listener net.Listener, limits func() Limits) net.Listener {
-	return limited{Listener: listener, limits: limits}
+	return limitedListener{Listener: listener, limits: limits}
 }
 
-type limited struct {
+type limitedListener struct {
 	net.Listener
 	limits func() Limits
 }
 
 // Accept implements net.Listener.
-func (l limited) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (l limitedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, limits: l.limits}, nil
+	return &limitedConn{Conn: conn, limits: l.limits}, nil
 }
 
-// Note is the server's ConnState: it tells a connection when it rests.
+// Note must be the server's ConnState hook, which reports idle connections.
 func Note(c net.Conn, state http.ConnState) {
-	if c, ok := c.(*conn); ok {
-		c.note(state)
+	if c, ok := c.(*limitedConn); ok {
+		c.setState(state)
 	}
 }
 
-// phase is what the server waits for when it next sets a read deadline.
+// phase is what the next read deadline of the server applies to.
 type phase uint8
 
 const (
-	awaitsHeader phase = iota
-	rests              // for the first byte of another request
-	serves
+	awaitingHeader phase = iota
+	idle                 // until the first byte of the next request
+	active
 )
 
-// conn shortens the read deadlines that the server sets.
-//
-// Load: callers that open connections and send their requests a byte at a time,
-// or never. Harm prevented: each holds a descriptor of the few thousand that a
-// small host has. The limits are the operator's. The server sets a deadline for
-// the rest, clears it with the first byte, and then sets one for the header.
-type conn struct {
+// limitedConn shortens the read deadlines that the server sets, so that slow or
+// idle callers do not exhaust the file descriptors. The server sets a deadline
+// for the idle time, clears it at the first byte and then sets one for the header.
+type limitedConn struct {
 	net.Conn
 	limits func() Limits
 
@@ -66,44 +63,44 @@
 	phase phase
 }
 
-func (c *conn) note(state http.ConnState) {
+func (c *limitedConn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		c.phase = rests
+		c.phase = idle
 	case http.StateActive:
-		c.phase = serves
+		c.phase = active
 	}
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *conn) SetReadDeadline(t time.Time) error {
-	return c.Conn.SetReadDeadline(c.shorten(t))
+func (c *limitedConn) SetReadDeadline(t time.Time) error {
+	return c.Conn.SetReadDeadline(c.limitDeadline(t))
 }
 
-func (c *conn) shorten(t time.Time) time.Time {
+func (c *limitedConn) limitDeadline(t time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t.IsZero() {
-		if c.phase == rests {
-			c.phase = awaitsHeader
+		if c.phase == idle {
+			c.phase = awaitingHeader
 		}
 		return t
 	}
 	limits := c.limits()
-	var within time.Duration
+	var timeout time.Duration
 	switch c.phase {
-	case awaitsHeader:
-		within = limits.Header
-	case rests:
-		within = limits.Idle
+	case awaitingHeader:
+		timeout = limits.Header
+	case idle:
+		timeout = limits.Idle
 	}
-	if end := time.Now().Add(within + tolerance); within > 0 && end.Before(t) {
+	if end := time.Now().Add(timeout + readSlack); timeout > 0 && end.Before(t) {
 		return end
 	}
 	return t
 }
 
-// tolerance is for a busy host that reads late what has come in time.
-const tolerance = 100 * time.Millisecond
+// readSlack allows for data that arrives in time but is read late.
+const readSlack = 100 * time.Millisecond
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,4 +1,4 @@
-// Package keepalive holds the TCP keep-alive of long-lived connections.
+// Package keepalive configures TCP keep-alive for long-lived connections.
 package keepalive
 
 import (
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// Short finds connections that went silent: something between the two ends has
-// lost track of them, nothing comes back, not even a reset, and new ones work.
-// Without it the next call on one ends as unknown, and a watch waits for good.
-// Three probes in 2.5 s leave room for one lost packet.
+// Short detects within 2.5 s that a connection is dead although no reset was
+// received, even if one probe is lost. Without it a watch on such a connection
+// would wait forever.
 var Short = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     time.Second,
--- a/internal/logbuffer/logbuffer.go
+++ b/internal/logbuffer/logbuffer.go
@@ -1,4 +1,4 @@
-// Package logbuffer keeps in memory what several goroutines log, for tests.
+// Package logbuffer collects log output in memory, for tests.
 package logbuffer
 
 import (
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// Buffer is safe for concurrent use; its zero value is empty.
+// Buffer is a zapcore.WriteSyncer that is safe for concurrent use. Its zero value
+// is empty.
 type Buffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -22,7 +23,7 @@
 // Sync implements zapcore.WriteSyncer.
 func (*Buffer) Sync() error { return nil }
 
-// String is all that was written.
+// String returns everything written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,18 +1,18 @@
-// Package seeded makes rapid's property tests draw the same cases in every run,
-// so that CI gives the same verdict each time. Tests import it for its effect;
-// -rapid.seed on the command line still takes another seed.
+// Package seeded fixes the seed of rapid's property tests, so that test runs are
+// reproducible. Tests import it for its side effect; the flag -rapid.seed
+// overrides it.
 package seeded
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // registers its flags first
+	_ "pgregory.net/rapid" // registers its flags
 )
 
 const seed = "1"
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(err) // the flag is gone from the library
+		panic(err) // the library has no such flag
 	}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine for a time or until its context ends.
+// Package wait provides a sleep that ends early with its context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether it passed before ctx ended.
+// For waits for d and reports whether d passed before ctx ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
