--- a/cli/bundle.go
+++ b/cli/bundle.go
@@ -19,8 +19,8 @@
 	outputJSON = "json"
 )
 
-// bundleTimeout bounds a command that only reads.
-const bundleTimeout = 30 * time.Second
+// bundleReadTimeout limits commands that do not write to the store.
+const bundleReadTimeout = 30 * time.Second
 
 // bundleFlags are the flags that all bundle commands share.
 type bundleFlags struct {
@@ -40,8 +40,8 @@
 			return nil
 		},
 	}
-	command.PersistentFlags().StringSliceVar(&flags.platform, "platform", nil, "addresses of the platform's object API, IP and port")
-	command.PersistentFlags().StringVar(&flags.output, "output", outputText, "text or json")
+	command.PersistentFlags().StringSliceVar(&flags.platform, "platform", nil, "addresses of the platform's object API (IP:port)")
+	command.PersistentFlags().StringVar(&flags.output, "output", outputText, "output format: text or json")
 	command.AddCommand(
 		newBundleInit(),
 		newBundleKeygen(flags),
@@ -56,15 +56,15 @@
 	return command
 }
 
-// store opens the platform's object API.
+// store returns a client of the platform's object API.
 func (f *bundleFlags) store() (*metastore.Client, error) {
 	if len(f.platform) == 0 {
-		return nil, errors.New("--platform is missing; give the address of the platform's object API, IP and port")
+		return nil, errors.New("--platform is missing; give the address of the platform's object API (IP:port)")
 	}
 	return metastore.NewClient(f.platform, metastore.ClientOptions{}), nil
 }
 
-// print writes the value as JSON, or the text.
+// print writes the value as JSON or calls text, depending on --output.
 func (f *bundleFlags) print(w io.Writer, value any, text func(io.Writer)) error {
 	if f.output == outputText {
 		text(w)
@@ -84,11 +84,10 @@
 	}
 }
 
-// required marks flags without which the command can't run.
-func required(command *cobra.Command, names ...string) {
+func markRequired(command *cobra.Command, names ...string) {
 	for _, name := range names {
 		if err := command.MarkFlagRequired(name); err != nil {
-			panic(err) // a flag that the command doesn't have
+			panic(err) // the command has no such flag
 		}
 	}
 }
--- a/cli/bundle_files.go
+++ b/cli/bundle_files.go
@@ -17,14 +17,14 @@
 	directoryMode   = 0o755
 )
 
-// writeNew writes a file that must not exist yet.
-func writeNew(path string, content []byte, mode os.FileMode) error {
+// createFile writes a new file and fails if it exists.
+func createFile(path string, content []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if os.IsExist(err) {
-		return errors.Errorf("%s: exists already and is not overwritten; name another file or remove it", path)
+		return errors.Errorf("%s: the file exists and is not overwritten; choose another name or remove it", path)
 	}
 	if err != nil {
-		return errors.Errorf("%s: can't be written (%v); name a file in a directory that you may write to", path, err)
+		return errors.Errorf("%s: can't be written (%v); choose a writable directory", path, err)
 	}
 	if _, err := file.Write(content); err != nil {
 		_ = file.Close()
@@ -42,8 +42,9 @@
 	return key, errors.Wrap(err, path)
 }
 
-// isChange tells a change file, which is JSON, from YAML documents.
-func isChange(path string) bool {
+// isChangeFile reports whether a path is a change file, which is JSON, and not
+// YAML documents.
+func isChangeFile(path string) bool {
 	info, err := os.Stat(path)
 	if err != nil || info.IsDir() {
 		return false
@@ -55,14 +56,14 @@
 func readChange(path string) (bundle.Change, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return bundle.Change{}, errors.Errorf("%s: can't be read (%v); make a change with bundle sign", path, err)
+		return bundle.Change{}, errors.Errorf("%s: can't be read (%v); create a change with bundle sign", path, err)
 	}
 	change, err := bundle.DecodeChange(raw)
-	return change, errors.Wrapf(err, "%s: is not a change of bundle sign", path)
+	return change, errors.Wrapf(err, "%s: not a change file written by bundle sign", path)
 }
 
-// writeChange writes the change beside the file and renames it, so that a
-// reviewer's full disk doesn't destroy the author's change.
+// writeChange replaces the file atomically, so that a failed write doesn't destroy
+// the previous change.
 func writeChange(path string, change bundle.Change) error {
 	raw, err := change.Encode()
 	if err != nil {
@@ -70,14 +71,14 @@
 	}
 	temporary := path + ".tmp"
 	if err := os.WriteFile(temporary, raw, publicFileMode); err != nil {
-		return errors.Wrap(err, "write change")
+		return errors.Wrap(err, "write the change")
 	}
-	return errors.Wrap(os.Rename(temporary, path), "write change")
+	return errors.Wrap(os.Rename(temporary, path), "write the change")
 }
 
 // readDocuments reads YAML files or a change file.
 func readDocuments(path string) (bundle.Documents, error) {
-	if isChange(path) {
+	if isChangeFile(path) {
 		change, err := readChange(path)
 		if err != nil {
 			return bundle.Documents{}, err
@@ -92,8 +93,8 @@
 	return source.Documents, nil
 }
 
-// signersFile is the part of a host's settings that says who may sign. Other
-// parts are left alone, so a host's settings file serves as it is.
+// signersFile is the part of a host's settings that lists the signers. Other keys
+// are ignored, so that a host's settings file can be used unchanged.
 type signersFile struct {
 	Keys settings.Keys `yaml:"keys"`
 }
@@ -108,7 +109,7 @@
 		return bundle.Signers{}, errors.Errorf("%s: %s", path, err)
 	}
 	if len(file.Keys.Signers) == 0 {
-		return bundle.Signers{}, errors.Errorf("%s: names no one under keys.signers; add the output of bundle keygen", path)
+		return bundle.Signers{}, errors.Errorf("%s: keys.signers is empty; add the output of bundle keygen", path)
 	}
 	signers, err := bundle.NewSigners(file.Keys.Signers)
 	return signers, errors.Wrap(err, path)
--- a/cli/bundle_review.go
+++ b/cli/bundle_review.go
@@ -16,10 +16,10 @@
 func newBundleDiff(flags *bundleFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff PATH [PATH]",
-		Short: "Show what changes from the accepted configuration, or from the first to the second path",
+		Short: "Show the differences from the accepted configuration, or between two paths",
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(command *cobra.Command, args []string) error {
-			ctx, cancel := context.WithTimeout(command.Context(), bundleTimeout)
+			ctx, cancel := context.WithTimeout(command.Context(), bundleReadTimeout)
 			defer cancel()
 			after, err := readDocuments(args[len(args)-1])
 			if err != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// before is the first of two paths, or the accepted configuration.
+// before returns the documents of the first of two paths, or the accepted ones.
 func (f *bundleFlags) before(ctx context.Context, args []string) (bundle.Documents, error) {
 	if len(args) == 2 {
 		return readDocuments(args[0])
@@ -55,16 +55,16 @@
 	above            uint64
 }
 
-func (f *signFlags) add(command *cobra.Command) {
+func (f *signFlags) register(command *cobra.Command) {
 	command.Flags().StringVar(&f.key, "key", "", "file with your private key")
-	command.Flags().StringVar(&f.reason, "reason", "", "why, for the history")
-	command.Flags().StringVar(&f.out, "out", "", "file for the change")
-	command.Flags().Uint64Var(&f.above, "above", 0, "make the generation higher than this, when the store was set back")
+	command.Flags().StringVar(&f.reason, "reason", "", "reason for the change, shown in the history")
+	command.Flags().StringVar(&f.out, "out", "", "file to write the change to")
+	command.Flags().Uint64Var(&f.above, "above", 0, "use a generation above this one, after the store was restored from a backup")
 }
 
 func (f *signFlags) proposal(key bundle.SigningKey) (bundle.Proposal, error) {
 	if f.reason == "" || f.out == "" {
-		return bundle.Proposal{}, errors.New("--reason and --out are needed to make a change; say why, and name a file")
+		return bundle.Proposal{}, errors.New("--reason and --out are required to make a change")
 	}
 	return bundle.Proposal{Author: key.Name, Reason: f.reason, Created: time.Now(), Above: f.above}, nil
 }
@@ -73,25 +73,25 @@
 	var sign signFlags
 	command := &cobra.Command{
 		Use:   "sign PATH",
-		Short: "Make a change of documents as its author, or add a sign-off to a change as reviewer",
+		Short: "Create a signed change from documents, or add a reviewer's signature to a change",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			key, err := readKey(sign.key)
 			if err != nil {
 				return err
 			}
-			if isChange(args[0]) {
+			if isChangeFile(args[0]) {
 				return flags.signChange(command, args[0], key)
 			}
 			return flags.signDocuments(command, args[0], key, sign)
 		},
 	}
-	sign.add(command)
-	required(command, "key")
+	sign.register(command)
+	markRequired(command, "key")
 	return command
 }
 
-// signDocuments is the author's step.
+// signDocuments creates a change signed by its author.
 func (f *bundleFlags) signDocuments(command *cobra.Command, path string, key bundle.SigningKey, sign signFlags) error {
 	proposal, err := sign.proposal(key)
 	if err != nil {
@@ -106,7 +106,7 @@
 		return err
 	}
 	defer store.Close()
-	ctx, cancel := context.WithTimeout(command.Context(), bundleTimeout)
+	ctx, cancel := context.WithTimeout(command.Context(), bundleReadTimeout)
 	defer cancel()
 	change, err := rollout.Propose(ctx, store, docs, proposal)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return f.writeSigned(command, sign.out, change, key)
 }
 
-// signChange is the reviewer's step: the documents are checked again.
+// signChange validates a change and adds the reviewer's signature.
 func (f *bundleFlags) signChange(command *cobra.Command, path string, key bundle.SigningKey) error {
 	change, err := readChange(path)
 	if err != nil {
--- a/cli/bundle_rollout.go
+++ b/cli/bundle_rollout.go
@@ -17,7 +17,7 @@
 
 const (
 	defaultSubmitTimeout = time.Minute
-	defaultHistory       = 20
+	defaultHistoryLimit  = 20
 )
 
 func newBundleSubmit(flags *bundleFlags) *cobra.Command {
@@ -25,7 +25,7 @@
 	var timeout time.Duration
 	command := &cobra.Command{
 		Use:   "submit CHANGE",
-		Short: "Make a signed change the accepted configuration; safe to repeat",
+		Short: "Make a signed change the accepted configuration (idempotent)",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			signers, err := readSigners(signersPath)
@@ -43,22 +43,22 @@
 			defer store.Close()
 			ctx, cancel := context.WithTimeout(command.Context(), timeout)
 			defer cancel()
-			receipt, err := rollout.Submit(ctx, store, signers, change)
+			submitted, err := rollout.Submit(ctx, store, signers, change)
 			if err != nil {
 				return err
 			}
-			return flags.print(command.OutOrStdout(), receipt, func(w io.Writer) {
+			return flags.print(command.OutOrStdout(), submitted, func(w io.Writer) {
 				fmt.Fprintf(w, "accepted: generation %s, %d documents written, in %s\n",
-					receipt.Ref, receipt.DocumentsWritten, receipt.Elapsed.Round(time.Millisecond))
-				if receipt.Superseded {
+					submitted.Ref, submitted.DocumentsWritten, submitted.Elapsed.Round(time.Millisecond))
+				if submitted.Superseded {
 					fmt.Fprintln(w, "a later change has been accepted since")
 				}
 			})
 		},
 	}
-	command.Flags().StringVar(&signersPath, "signers", "", "a host's settings file, which names who may sign")
-	command.Flags().DurationVar(&timeout, "timeout", defaultSubmitTimeout, "how long to go on through an outage of the store")
-	required(command, "signers")
+	command.Flags().StringVar(&signersPath, "signers", "", "settings file of a host, which lists the signers")
+	command.Flags().DurationVar(&timeout, "timeout", defaultSubmitTimeout, "how long to retry while the store is unavailable")
+	markRequired(command, "signers")
 	return command
 }
 
@@ -74,7 +74,7 @@
 				return err
 			}
 			defer store.Close()
-			ctx, cancel := context.WithTimeout(command.Context(), bundleTimeout)
+			ctx, cancel := context.WithTimeout(command.Context(), bundleReadTimeout)
 			defer cancel()
 			accepted, err := rollout.History(ctx, store, limit)
 			if err != nil {
@@ -83,7 +83,7 @@
 			return flags.print(command.OutOrStdout(), accepted, func(w io.Writer) { printHistory(w, accepted) })
 		},
 	}
-	command.Flags().IntVar(&limit, "limit", defaultHistory, "how many generations")
+	command.Flags().IntVar(&limit, "limit", defaultHistoryLimit, "maximum number of generations")
 	return command
 }
 
@@ -110,7 +110,7 @@
 	var to uint64
 	command := &cobra.Command{
 		Use:   "rollback",
-		Short: "Make a change that restores an earlier generation; sign it off and submit it like any other",
+		Short: "Create a change that restores an earlier generation, to be signed and submitted as usual",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			key, err := readKey(sign.key)
@@ -126,7 +126,7 @@
 				return err
 			}
 			defer store.Close()
-			ctx, cancel := context.WithTimeout(command.Context(), bundleTimeout)
+			ctx, cancel := context.WithTimeout(command.Context(), bundleReadTimeout)
 			defer cancel()
 			change, err := rollout.Rollback(ctx, store, to, proposal)
 			if err != nil {
@@ -135,9 +135,9 @@
 			return flags.writeSigned(command, sign.out, change, key)
 		},
 	}
-	sign.add(command)
-	command.Flags().Uint64Var(&to, "to", 0, "the generation to restore")
-	required(command, "key", "to")
+	sign.register(command)
+	command.Flags().Uint64Var(&to, "to", 0, "generation to restore")
+	markRequired(command, "key", "to")
 	return command
 }
 
@@ -145,10 +145,10 @@
 	var hosts []string
 	command := &cobra.Command{
 		Use:   "status",
-		Short: "Show the generation in force on each host, and who lags",
+		Short: "Show the active generation of each host",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			ctx, cancel := context.WithTimeout(command.Context(), bundleTimeout)
+			ctx, cancel := context.WithTimeout(command.Context(), bundleReadTimeout)
 			defer cancel()
 			accepted, storeErr := flags.acceptedGeneration(ctx)
 			status := rollout.Status(ctx, http.DefaultClient, accepted, hosts)
@@ -161,12 +161,12 @@
 			return nil
 		},
 	}
-	command.Flags().StringSliceVar(&hosts, "hosts", nil, "addresses of the hosts' operators' listeners, IP and port")
-	required(command, "hosts")
+	command.Flags().StringSliceVar(&hosts, "hosts", nil, "addresses of the hosts' operator listeners (IP:port)")
+	markRequired(command, "hosts")
 	return command
 }
 
-// acceptedGeneration is 0 if the store can't be asked: the hosts can.
+// acceptedGeneration returns 0 and an error if the store is unavailable.
 func (f *bundleFlags) acceptedGeneration(ctx context.Context) (uint64, error) {
 	store, err := f.store()
 	if err != nil {
--- a/cli/bundle_write.go
+++ b/cli/bundle_write.go
@@ -19,10 +19,10 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if err := os.MkdirAll(args[0], directoryMode); err != nil {
-				return errors.Wrap(err, "make directory")
+				return errors.Wrap(err, "create the directory")
 			}
 			path := filepath.Join(args[0], "bundle.yaml")
-			if err := writeNew(path, []byte(bundle.Example), publicFileMode); err != nil {
+			if err := createFile(path, []byte(bundle.Example), publicFileMode); err != nil {
 				return err
 			}
 			fmt.Fprintf(command.OutOrStdout(), "wrote %s; change it, then run: bundle validate %s\n", path, args[0])
@@ -35,14 +35,14 @@
 	var name, out string
 	command := &cobra.Command{
 		Use:   "keygen",
-		Short: "Make a person's signing key",
+		Short: "Generate a person's signing key",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			key, err := bundle.GenerateKey(name)
 			if err != nil {
 				return err
 			}
-			if err := writeNew(out, key.Encode(), privateFileMode); err != nil {
+			if err := createFile(out, key.Encode(), privateFileMode); err != nil {
 				return err
 			}
 			signer := key.Signer()
@@ -53,15 +53,15 @@
 		},
 	}
 	command.Flags().StringVar(&name, "name", "", "name of the person")
-	command.Flags().StringVar(&out, "out", "", "file for the private key")
-	required(command, "name", "out")
+	command.Flags().StringVar(&out, "out", "", "file to write the private key to")
+	markRequired(command, "name", "out")
 	return command
 }
 
 func newBundleValidate(flags *bundleFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "validate PATH",
-		Short: "List every problem of documents or of a change",
+		Short: "Validate documents or a change and list every problem",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			docs, err := readDocuments(args[0])
@@ -87,8 +87,8 @@
 	}
 }
 
-// printProblems lists problems as JSON where that is wanted; the error still
-// makes the command fail.
+// printProblems prints validation problems as JSON if requested and returns an
+// error in any case.
 func (f *bundleFlags) printProblems(command *cobra.Command, err error) error {
 	var problems bundle.Problems
 	if f.output != outputJSON || !errors.As(err, &problems) {
--- a/cli/call.go
+++ b/cli/call.go
@@ -17,36 +17,36 @@
 	"github.com/goldcrestspan/goldcrestspan/client"
 )
 
-// tokenVariable names the environment variable with the caller's token, so that
-// it is in no list of processes.
-const tokenVariable = "GOLDCRESTSPAN_TOKEN"
+// tokenEnv is the environment variable with the caller's token. There is no flag
+// for it, so that the token doesn't show up in process lists.
+const tokenEnv = "GOLDCRESTSPAN_TOKEN"
 
-// callFlags are shared by the commands that act as a caller.
+// callFlags are the flags of the commands that act as a caller.
 type callFlags struct {
 	hosts       []string
 	zone        string
-	wait        time.Duration
+	timeout     time.Duration
 	output      string
 	authorities string
 }
 
-func (f *callFlags) add(command *cobra.Command) {
+func (f *callFlags) register(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringSliceVar(&f.hosts, "hosts", nil, "callers' listeners of some entry hosts, IP:port")
-	flags.StringVar(&f.zone, "zone", "", "own availability zone, to be served nearby")
-	flags.DurationVar(&f.wait, "wait", 2*time.Second, "how long to wait for the answer")
-	flags.StringVar(&f.output, "output", outputText, "text or json")
-	flags.StringVar(&f.authorities, "authorities", "", "PEM file of authorities; speaks TLS when given")
-	_ = command.MarkFlagRequired("hosts") // fails only for an unknown flag
+	flags.StringSliceVar(&f.hosts, "hosts", nil, "caller listeners of some entry hosts (IP:port)")
+	flags.StringVar(&f.zone, "zone", "", "own availability zone, whose entry hosts are preferred")
+	flags.DurationVar(&f.timeout, "wait", 2*time.Second, "how long to wait for the answer")
+	flags.StringVar(&f.output, "output", outputText, "output format: text or json")
+	flags.StringVar(&f.authorities, "authorities", "", "PEM file of certificate authorities; enables TLS")
+	_ = command.MarkFlagRequired("hosts") // fails only for unknown flags
 }
 
 func (f *callFlags) client() (*client.Client, error) {
 	if f.output != outputText && f.output != outputJSON {
-		return nil, errors.Errorf("--output %q: give text or json", f.output)
+		return nil, errors.Errorf("--output %q: use text or json", f.output)
 	}
-	token := os.Getenv(tokenVariable)
+	token := os.Getenv(tokenEnv)
 	if token == "" {
-		return nil, errors.Errorf("%s is not set: export the caller's bearer token in it", tokenVariable)
+		return nil, errors.Errorf("%s is not set: export the caller's bearer token in it", tokenEnv)
 	}
 	config, err := f.tls()
 	if err != nil {
@@ -65,24 +65,24 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, errors.Errorf("--authorities %s: holds no certificate in PEM", f.authorities)
+		return nil, errors.Errorf("--authorities %s: contains no PEM certificate", f.authorities)
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}, nil
 }
 
-// call runs what a command does as a caller, within the time to wait.
-func (f *callFlags) call(cmd *cobra.Command, do func(ctx context.Context, c *client.Client) error) error {
+// withClient calls do with a new client and a context that ends after the timeout.
+func (f *callFlags) withClient(cmd *cobra.Command, do func(ctx context.Context, c *client.Client) error) error {
 	c, err := f.client()
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(cmd.Context(), f.wait)
+	ctx, cancel := context.WithTimeout(cmd.Context(), f.timeout)
 	defer cancel()
 	return do(ctx, c)
 }
 
-// print writes an answer, also one that came with an error.
+// print writes an answer. The answer may be nil.
 func (f *callFlags) print(w io.Writer, answer *client.Answer) {
 	if answer == nil {
 		return
@@ -95,8 +95,8 @@
 	if answer.Coverage != nil {
 		fmt.Fprintf(w, "snapshot %s@%d, %d of %d shards\n", answer.Snapshot.Index, answer.Snapshot.Version, answer.Coverage.Have, answer.Coverage.Total)
 	}
-	for _, part := range answer.Shards {
-		fmt.Fprintf(w, "shard %d: %s\n", part.Shard, part.Body)
+	for _, shard := range answer.Shards {
+		fmt.Fprintf(w, "shard %d: %s\n", shard.Shard, shard.Body)
 	}
 	for _, missing := range answer.Missing {
 		fmt.Fprintf(w, "missing shard %d: %s %s\n", missing.Shard, missing.Name, missing.Detail)
@@ -106,10 +106,10 @@
 	}
 }
 
-func printJSON(w io.Writer, v any) {
+func printJSON(w io.Writer, value any) {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(v) // a closed output is nobody's loss
+	_ = encoder.Encode(value) // a closed output is ignored
 }
 
 func newQueryCommand() *cobra.Command {
@@ -117,19 +117,19 @@
 	var class string
 	command := &cobra.Command{
 		Use:   "query ROUTE JSON",
-		Short: "Send one search as a caller and print the answer",
-		Long:  "Send one search as a caller. The bearer token is taken from " + tokenVariable + ".",
+		Short: "Send a search as a caller and print the answer",
+		Long:  "Send a search as a caller. The bearer token is read from the environment variable " + tokenEnv + ".",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.call(cmd, func(ctx context.Context, c *client.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 				answer, err := c.Query(ctx, args[0], client.Query{Class: class, Body: []byte(args[1]), Detail: true})
 				f.print(cmd.OutOrStdout(), answer)
 				return err
 			})
 		},
 	}
-	f.add(command)
-	command.Flags().StringVar(&class, "class", "", "class of the request; default: the route's first")
+	f.register(command)
+	command.Flags().StringVar(&class, "class", "", "class of the request; default: the route's first class")
 	return command
 }
 
@@ -138,21 +138,21 @@
 	var ticket string
 	command := &cobra.Command{
 		Use:   "book ROUTE JSON",
-		Short: "Send one booking as a caller, at most once",
-		Long: `Send one booking as a caller. It asks for a ticket and prints it before it sends
-the booking; after any error send the same booking again with --ticket: it never
-runs twice, and the outcome of the first sending comes back. The bearer token is
-taken from ` + tokenVariable + ".",
+		Short: "Send a booking as a caller",
+		Long: `Send a booking as a caller. The command requests a ticket and prints it before
+it sends the booking. After any error, send the same booking again with --ticket:
+it never runs twice, and the outcome of the first run is returned. The bearer
+token is read from the environment variable ` + tokenEnv + ".",
 		Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.call(cmd, func(ctx context.Context, c *client.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 				booking := client.Booking{Body: []byte(args[1]), Resent: ticket != ""}
 				if ticket == "" {
-					issued, err := c.Ticket(ctx, args[0])
+					newTicket, err := c.Ticket(ctx, args[0])
 					if err != nil {
 						return err
 					}
-					ticket = issued
+					ticket = newTicket
 				}
 				fmt.Fprintln(cmd.ErrOrStderr(), "ticket", ticket)
 				answer, err := c.Book(ctx, args[0], ticket, booking)
@@ -161,8 +161,8 @@
 			})
 		},
 	}
-	f.add(command)
-	command.Flags().StringVar(&ticket, "ticket", "", "ticket of an earlier sending of this booking")
+	f.register(command)
+	command.Flags().StringVar(&ticket, "ticket", "", "ticket with which this booking was sent before")
 	return command
 }
 
@@ -170,10 +170,10 @@
 	var f callFlags
 	command := &cobra.Command{
 		Use:   "hosts",
-		Short: "Ask the system which entry hosts to use",
+		Short: "List the entry hosts that callers are advised to use",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.call(cmd, func(ctx context.Context, c *client.Client) error {
+			return f.withClient(cmd, func(ctx context.Context, c *client.Client) error {
 				hosts, err := c.Hosts(ctx)
 				if err != nil {
 					return err
@@ -187,6 +187,6 @@
 			})
 		},
 	}
-	f.add(command)
+	f.register(command)
 	return command
 }
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -16,7 +16,7 @@
 	var level string
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Run the whole system on loopback with stand-ins, and check every answer",
+		Short: "Run a complete system on loopback with stand-ins and check every answer",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			logger, err := observe.NewLogger(level, "console")
@@ -31,9 +31,9 @@
 		},
 	}
 	flags := command.Flags()
-	flags.DurationVar(&options.For, "for", 5*time.Second, "how long requests are sent")
-	flags.Uint64Var(&options.Seed, "seed", 1, "seed of service times and arrivals")
-	flags.BoolVar(&options.Keep, "keep", false, "go on serving after the report and print addresses to try")
+	flags.DurationVar(&options.For, "for", 5*time.Second, "how long to send requests")
+	flags.Uint64Var(&options.Seed, "seed", 1, "random seed of service times and arrivals")
+	flags.BoolVar(&options.Keep, "keep", false, "keep serving after the report and print commands to try")
 	flags.StringVar(&level, "log", "error", "log level: debug, info, warn or error")
 	return command
 }
--- a/cli/load.go
+++ b/cli/load.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspan/goldcrestspan/observe"
 )
 
-// loadFlags are the arguments of the load command that are not load.Options.
+// loadFlags are the flags of the load command.
 type loadFlags struct {
 	shape, faults, compare, only  string
 	output, plots, profile, level string
@@ -29,31 +29,31 @@
 	f := &loadFlags{}
 	command := &cobra.Command{
 		Use:   "load",
-		Short: "Drive entry hosts over sockets with a user's shape and faults, and check every answer",
+		Short: "Run a load test with faults against entry hosts over sockets and check every answer",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return f.run(cmd) },
 	}
 	flags := command.Flags()
-	flags.StringVar(&f.shape, "shape", "plakatna", "plakatna or vltava")
+	flags.StringVar(&f.shape, "shape", "plakatna", "workload: plakatna or vltava")
 	flags.IntVar(&f.options.Hosts, "hosts", 7, "number of entry hosts")
-	flags.Float64Var(&f.options.Share, "load", 0.7, "share of all slots that the arrivals use")
-	flags.Float64Var(&f.options.Scale, "scale", 4, "multiplies service times and deadlines; arrivals slow down by it")
-	flags.DurationVar(&f.options.For, "for", 30*time.Second, "how long requests are sent")
-	flags.DurationVar(&f.options.Warmup, "warmup", 3*time.Second, "left out of the figures, not of the checks")
-	flags.Uint64Var(&f.options.Seed, "seed", 1, "seed of arrivals and service times")
-	flags.StringVar(&f.faults, "faults", "none", "a file with a timeline of faults, or a preset: none, slow, all")
-	flags.StringVar(&f.compare, "compare", "", "direct: callers that fan out directly, side by side")
-	flags.StringVar(&f.only, "only", "", "direct: run the direct callers alone")
-	flags.Float64Var(&f.options.Policy.HedgeBudget, "hedge-budget", 0, "policy hedge_budget; 0 takes the default")
-	flags.StringVar(&f.output, "output", outputText, "text or json")
-	flags.StringVar(&f.plots, "plots", "", "write SVG plots into this directory")
-	flags.StringVar(&f.profile, "cpu-profile", "", "write a processor profile to this file")
+	flags.Float64Var(&f.options.Share, "load", 0.7, "offered load as a fraction of all slots")
+	flags.Float64Var(&f.options.Scale, "scale", 4, "factor for service times and deadlines; divides the arrival rate")
+	flags.DurationVar(&f.options.For, "for", 30*time.Second, "how long to send requests")
+	flags.DurationVar(&f.options.Warmup, "warmup", 3*time.Second, "initial time excluded from the statistics, not from the checks")
+	flags.Uint64Var(&f.options.Seed, "seed", 1, "random seed of arrivals and service times")
+	flags.StringVar(&f.faults, "faults", "none", "file with a timeline of faults, or a preset: none, slow, all")
+	flags.StringVar(&f.compare, "compare", "", "direct: also run callers that call the backend servers directly")
+	flags.StringVar(&f.only, "only", "", "direct: run only the direct callers")
+	flags.Float64Var(&f.options.Policy.HedgeBudget, "hedge-budget", 0, "policy hedge_budget; 0: default")
+	flags.StringVar(&f.output, "output", outputText, "output format: text or json")
+	flags.StringVar(&f.plots, "plots", "", "write SVG plots to this directory")
+	flags.StringVar(&f.profile, "cpu-profile", "", "write a CPU profile to this file")
 	flags.StringVar(&f.level, "log", "error", "log level: debug, info, warn or error")
 	return command
 }
 
 func (f *loadFlags) run(cmd *cobra.Command) error {
-	if err := f.complete(cmd); err != nil {
+	if err := f.setOptions(cmd); err != nil {
 		return err
 	}
 	stopProfile, err := f.startProfile()
@@ -73,7 +73,7 @@
 	return err
 }
 
-func (f *loadFlags) complete(cmd *cobra.Command) error {
+func (f *loadFlags) setOptions(cmd *cobra.Command) error {
 	shape, err := load.ShapeByName(f.shape)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	}
 	for name, value := range map[string]string{"compare": f.compare, "only": f.only} {
 		if value != "" && value != compareDirect {
-			return errors.Errorf("--%s %q: only %q is known", name, value, compareDirect)
+			return errors.Errorf("--%s %q: use %q", name, value, compareDirect)
 		}
 	}
 	if !slices.Contains([]string{outputText, outputJSON}, f.output) {
@@ -93,17 +93,17 @@
 	f.options.Tier = f.only == ""
 	f.options.Direct = f.only != "" || f.compare != ""
 	f.options.Progress = cmd.ErrOrStderr()
-	return f.readEvents()
+	return f.readFaults()
 }
 
-func (f *loadFlags) readEvents() error {
+func (f *loadFlags) readFaults() error {
 	events, known := load.Preset(f.faults, f.options.Shape, f.options.For)
 	if known {
 		f.options.Events = events
 		return nil
 	}
 	if _, err := os.Stat(f.faults); err != nil {
-		return errors.Errorf("--faults %q: no such preset (%v) and no such file", f.faults, load.Presets)
+		return errors.Errorf("--faults %q: neither a preset (%v) nor a file", f.faults, load.Presets)
 	}
 	var err error
 	f.options.Events, err = load.ReadFaults(f.faults)
--- a/cli/resultcodes.go
+++ b/cli/resultcodes.go
@@ -11,7 +11,7 @@
 func newResultCodesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "result-codes",
-		Short: "Print the page of result codes (docs/result-codes.md)",
+		Short: "Print the result codes as Markdown (docs/result-codes.md)",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, err := fmt.Fprint(cmd.OutOrStdout(), result.Markdown())
--- a/cli/root.go
+++ b/cli/root.go
@@ -1,5 +1,4 @@
-// Package cli owns the command line: one file for each command. The commands
-// only read arguments and print; the work is done by the library.
+// Package cli implements the subcommands of goldcrestspan.
 package cli
 
 import (
@@ -8,7 +7,7 @@
 	"github.com/goldcrestspan/goldcrestspan/platform"
 )
 
-// NewRoot makes the goldcrestspan command with all its subcommands.
+// NewRoot returns the goldcrestspan command with all its subcommands.
 func NewRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "goldcrestspan",
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -18,13 +18,14 @@
 	var file string
 	command := &cobra.Command{
 		Use:   "serve",
-		Short: "Run one entry host until SIGTERM or SIGINT, then stop it as planned",
-		Long: `Run one entry host.
+		Short: "Run an entry host until SIGTERM or SIGINT",
+		Long: `Run an entry host.
 
-The first SIGTERM or SIGINT begins a planned stop: the host leaves the advice to
-callers, serves on while callers may keep old advice, then refuses new work as
-"not run", finishes what is in flight and exits. A second signal ends it at
-once: work in flight is cut off, and bookings in flight become unknown.`,
+The first SIGTERM or SIGINT starts a planned stop: callers are no longer advised
+to use the host. It keeps serving until earlier advice has expired, then refuses
+new requests as "not run", finishes the requests in flight and exits. A second
+signal stops it at once: requests in flight are aborted, and the outcome of
+bookings in flight is unknown.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := settings.Load(file)
@@ -34,8 +35,8 @@
 			return serve(cmd.Context(), *s)
 		},
 	}
-	command.Flags().StringVar(&file, "settings", "", "settings file of this host (YAML)")
-	_ = command.MarkFlagRequired("settings") // fails only for an unknown flag
+	command.Flags().StringVar(&file, "settings", "", "settings file of the host (YAML)")
+	_ = command.MarkFlagRequired("settings") // fails only for unknown flags
 	return command
 }
 
@@ -51,7 +52,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go awaitSignals(cancel, host, logger)
+	go handleSignals(cancel, host, logger)
 	logger.Info("entry host started",
 		zap.String("host", host.Name()),
 		zap.String("callers", host.CallerAddress()),
@@ -62,14 +63,14 @@
 	return err
 }
 
-// awaitSignals begins a planned stop with the first signal and ends the host
-// with the second.
-func awaitSignals(stop context.CancelFunc, host *goldcrestspan.Host, logger *zap.Logger) {
+// handleSignals starts a planned stop at the first signal and aborts the host at
+// the second.
+func handleSignals(stop context.CancelFunc, host *goldcrestspan.Host, logger *zap.Logger) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
 	stop()
 	<-signals
-	logger.Warn("second signal: work in flight is cut off")
+	logger.Warn("second signal received; aborting requests in flight")
 	host.Abort()
 }
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -11,7 +11,7 @@
 func newSettingsCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "settings",
-		Short: "Work with the settings file of an entry host",
+		Short: "Check the settings file of an entry host",
 	}
 	cmd.AddCommand(newSettingsCheckCommand())
 	return cmd
@@ -20,7 +20,7 @@
 func newSettingsCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "List every problem of a settings file",
+		Short: "Validate a settings file and list every problem",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
--- a/cli/status.go
+++ b/cli/status.go
@@ -15,7 +15,6 @@
 	"github.com/goldcrestspan/goldcrestspan"
 )
 
-// statusTimeout bounds asking one host.
 const statusTimeout = 3 * time.Second
 
 func newStatusCommand() *cobra.Command {
@@ -23,7 +22,7 @@
 	var scheme string
 	command := &cobra.Command{
 		Use:   "status IP:PORT",
-		Short: "Show one entry host's view, from its operators' listener",
+		Short: "Show the status of an entry host, read from its operator listener",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			status, err := readStatus(cmd.Context(), scheme+"://"+args[0]+"/v1/status")
@@ -38,8 +37,8 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&output, "output", outputText, "text or json")
-	command.Flags().StringVar(&scheme, "scheme", "http", "http or https")
+	command.Flags().StringVar(&output, "output", outputText, "output format: text or json")
+	command.Flags().StringVar(&scheme, "scheme", "http", "URL scheme: http or https")
 	return command
 }
 
@@ -49,17 +48,17 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return status, errors.Wrap(err, "address: give IP:port of the operators' listener")
+		return status, errors.Wrap(err, "address: use IP:port of the operator listener")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return status, errors.Wrap(err, "ask the host")
+		return status, errors.Wrap(err, "request the status")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return status, errors.Errorf("%s: HTTP status %d: is it the operators' listener?", url, response.StatusCode)
+		return status, errors.Errorf("%s: HTTP status %d; is this the operator listener?", url, response.StatusCode)
 	}
-	return status, errors.Wrap(json.NewDecoder(response.Body).Decode(&status), "read the status")
+	return status, errors.Wrap(json.NewDecoder(response.Body).Decode(&status), "decode the status")
 }
 
 func printHostStatus(w io.Writer, s goldcrestspan.Status) {
