--- a/cmd/goldcrestspan/main.go
+++ b/cmd/goldcrestspan/main.go
@@ -1,4 +1,4 @@
-// Command goldcrestspan is the one program of the project.
+// Command goldcrestspan runs entry hosts and the tools for callers and operators.
 package main
 
 import (
