--- a/demo/shape.go
+++ b/demo/config.go
@@ -1,6 +1,6 @@
-// Package demo shows the whole system at work in one process: it rolls out a
-// signed bundle, asks for hosts as a caller does, sends requests of each class
-// and checks every answer against what the backend server stand-ins ran.
+// Package demo runs a complete system in one process. It rolls out a signed
+// bundle, sends requests of each class as a caller does and checks every answer
+// against what the backend server stand-ins ran.
 package demo
 
 import (
@@ -30,10 +30,10 @@
 	callerTransit = "transit-office"
 )
 
-// tokenOf is the demo's bearer token of a caller. Real ones are drawn at random.
-func tokenOf(caller string) string { return "demo-token-of-" + caller }
+// tokenFor returns the bearer token of a caller in the demo.
+func tokenFor(caller string) string { return "demo-token-of-" + caller }
 
-// serviceTime is that of the users' services: mostly 5 ms, with stragglers.
+// serviceTime has a mean of 5 ms, with stragglers of 40 ms more.
 var serviceTime = standin.ServiceTime{
 	Base:           time.Millisecond,
 	Mean:           4 * time.Millisecond,
@@ -41,19 +41,20 @@
 	StragglerShare: 0.02,
 }
 
-// Groups are booking-desk and transit-planner as Plakatna Mreža runs them.
+// Groups returns the backend servers of the demo's two indexes.
 func Groups() []testbed.Group {
-	shape := testbed.Group{Servers: 2, Slots: 2, Connections: 25, Time: serviceTime}
-	desk, planner := shape, shape
+	group := testbed.Group{Servers: 2, Slots: 2, Connections: 25, Time: serviceTime}
+	desk, planner := group, group
 	desk.Index, desk.Services = indexBookingDesk, 20
 	planner.Index, planner.Services = indexTransitPlanner, 30
 	return []testbed.Group{desk, planner}
 }
 
-// Documents are the demo's bundle, without the services, which the testbed adds.
+// Documents returns the demo's bundle without its services, which the testbed
+// adds.
 func Documents() bundle.Documents {
 	caller := func(name string) bundle.Caller {
-		return bundle.Caller{Name: name, TokenSHA256: testbed.TokenHash(tokenOf(name))}
+		return bundle.Caller{Name: name, TokenSHA256: testbed.TokenHash(tokenFor(name))}
 	}
 	return bundle.Documents{
 		Classes: []bundle.Class{
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -16,92 +16,91 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// Options of a demo.
+// Options configure the demo.
 type Options struct {
-	// For is how long requests are sent; default 5 s.
+	// For is how long requests are sent.
 	For time.Duration
-	// Seed makes the stand-ins' service times and the arrivals repeatable.
+	// Seed is the random seed of arrivals and of the stand-ins' service times.
 	Seed uint64
-	// Keep goes on serving after the report until ctx ends.
+	// Keep keeps the hosts running after the report until ctx ends.
 	Keep   bool
 	Out    io.Writer
 	Logger *zap.Logger
 }
 
 const (
-	hosts = 3
-	// queriesPerSecond loads the services to about a quarter.
-	queriesPerSecond = 90
-	// maxShown bounds the broken promises that are printed.
-	maxShown = 20
-	// settle is how long work may still be under way after the last request.
-	settle = 300 * time.Millisecond
+	hostCount = 3
+	// queriesPerSecond uses about a quarter of the services' capacity.
+	queriesPerSecond     = 90
+	maxPrintedViolations = 20
+	// settleTime is how long backend servers may keep working after the last reply.
+	settleTime = 300 * time.Millisecond
 )
 
-// Run runs the demo. Its error says that a promise was broken or that it could
-// not run at all.
-func Run(ctx context.Context, o Options) error {
-	fmt.Fprintf(o.Out, "starting a platform stand-in, 100 backend server stand-ins and %d entry hosts on loopback\n", hosts)
+// Run runs the demo. It returns an error if it can't run or if a check fails.
+func Run(ctx context.Context, opts Options) error {
+	fmt.Fprintf(opts.Out, "starting a platform stand-in, 100 backend server stand-ins and %d entry hosts on loopback\n", hostCount)
 	bed, err := testbed.Start(ctx, testbed.Config{
 		Groups:    Groups(),
-		Hosts:     hosts,
+		Hosts:     hostCount,
 		Documents: Documents(),
-		Seed:      o.Seed,
-		Logger:    o.Logger,
+		Seed:      opts.Seed,
+		Logger:    opts.Logger,
 	})
 	if err != nil {
 		return err
 	}
 	defer bed.Close()
-	fmt.Fprintf(o.Out, "a signed bundle is in force on all hosts, generation %d\n", bed.Hosts()[0].Status().Generation)
-	d := &demo{bed: bed, options: o, report: newReport()}
+	fmt.Fprintf(opts.Out, "a signed bundle is in force on all hosts, generation %d\n", bed.Hosts()[0].Status().Generation)
+	d := &demo{bed: bed, options: opts, report: newReport()}
 	d.checker = testbed.NewChecker(bed.Record, bed.Published)
 	if err := d.run(ctx); err != nil {
 		return err
 	}
-	if o.Keep {
-		d.keep(ctx)
+	if opts.Keep {
+		d.serveUntilDone(ctx)
 	}
 	return nil
 }
 
+// demo is one run of the demo.
 type demo struct {
 	bed     *testbed.Bed
 	options Options
 	checker *testbed.Checker
 	report  *report
 	clients map[string]*client.Client
-	work    sync.WaitGroup
+	pending sync.WaitGroup
 }
 
 func (d *demo) run(ctx context.Context) error {
-	if err := d.openClients(); err != nil {
+	if err := d.createClients(); err != nil {
 		return err
 	}
-	d.askForHosts(ctx)
-	d.sendAll(ctx)
-	if err := d.lostShard(ctx); err != nil {
+	d.requestAdvice(ctx)
+	d.sendRequests(ctx)
+	if err := d.checkLostShard(ctx); err != nil {
 		return err
 	}
-	d.refusal(ctx)
-	d.work.Wait()
-	time.Sleep(settle)
+	d.sendForbiddenQuery(ctx)
+	d.pending.Wait()
+	time.Sleep(settleTime)
 	d.report.print(d.options.Out, d.bed.Record)
-	broken, checked := d.checker.Finish()
-	for _, b := range broken[:min(len(broken), maxShown)] {
-		fmt.Fprintln(d.options.Out, "BROKEN", b)
+	violations, checked := d.checker.Finish()
+	for _, violation := range violations[:min(len(violations), maxPrintedViolations)] {
+		fmt.Fprintln(d.options.Out, "BROKEN", violation)
 	}
-	if len(broken) > 0 {
-		return errors.Errorf("%d promises broken", len(broken))
+	if len(violations) > 0 {
+		return errors.Errorf("%d promises broken", len(violations))
 	}
 	fmt.Fprintf(d.options.Out, "%d replies checked against the stand-ins' record: every promise held\n", checked)
 	return nil
 }
 
-func (d *demo) openClients() error {
+func (d *demo) createClients() error {
 	d.clients = make(map[string]*client.Client)
 	for _, caller := range []string{callerScreens, callerSales, callerTransit} {
-		c, err := client.New(client.Options{Seeds: d.bed.CallerAddresses()[:1], Token: tokenOf(caller)})
+		c, err := client.New(client.Options{Seeds: d.bed.CallerAddresses()[:1], Token: tokenFor(caller)})
 		if err != nil {
 			return err
 		}
@@ -110,37 +109,37 @@
 	return nil
 }
 
-func (d *demo) askForHosts(ctx context.Context) {
+func (d *demo) requestAdvice(ctx context.Context) {
 	advice, err := d.clients[callerSales].Hosts(ctx)
-	fmt.Fprintf(d.options.Out, "asked one host which to use: %v %v\n", advice, errText(err))
+	fmt.Fprintf(d.options.Out, "asked one host which to use: %v %v\n", advice, errorText(err))
 }
 
-// sendAll sends requests of every class at random times.
-func (d *demo) sendAll(ctx context.Context) {
-	length := d.options.For
+// sendRequests sends requests of every class with exponential interarrival times.
+func (d *demo) sendRequests(ctx context.Context) {
+	duration := d.options.For
 	random := rand.New(rand.NewPCG(d.options.Seed, 1))
 	start := time.Now()
 	next := start
-	shown := time.Second
+	nextProgress := time.Second
 	for {
 		next = next.Add(time.Duration(random.ExpFloat64() * float64(time.Second) / queriesPerSecond))
-		if next.Sub(start) >= length || ctx.Err() != nil {
+		if next.Sub(start) >= duration || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(time.Until(next))
-		d.sendOne(ctx, random.IntN(10), random.Uint64())
-		if elapsed := time.Since(start); elapsed >= shown {
-			fmt.Fprintf(d.options.Out, "  %2.0f s: %d sent\n", elapsed.Seconds(), d.report.count())
-			shown += time.Second
+		d.sendRequest(ctx, random.IntN(10), random.Uint64())
+		if elapsed := time.Since(start); elapsed >= nextProgress {
+			fmt.Fprintf(d.options.Out, "  %2.0f s: %d sent\n", elapsed.Seconds(), d.report.sentCount())
+			nextProgress += time.Second
 		}
 	}
 }
 
-func (d *demo) sendOne(ctx context.Context, kind int, value uint64) {
+func (d *demo) sendRequest(ctx context.Context, kind int, value uint64) {
 	body := fmt.Appendf(nil, `{"key":"item-%d"}`, value)
-	d.work.Add(1)
+	d.pending.Add(1)
 	go func() {
-		defer d.work.Done()
+		defer d.pending.Done()
 		switch kind {
 		case 0:
 			d.book(ctx, body)
@@ -156,78 +155,80 @@
 	}()
 }
 
-func (d *demo) query(ctx context.Context, caller, route, class string, wait time.Duration, body []byte) *client.Answer {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func (d *demo) query(ctx context.Context, caller, route, class string, timeout time.Duration, body []byte) *client.Answer {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	started := time.Now()
 	answer, err := d.clients[caller].Query(ctx, route, client.Query{Class: class, Body: body, Detail: true})
-	d.report.add(class, time.Since(started), answer, err)
+	d.report.record(class, time.Since(started), answer, err)
 	if answer != nil {
 		d.checker.Answer(body, answer)
 	}
 	return answer
 }
 
-const bookingWait = 2 * time.Second
+const bookingTimeout = 2 * time.Second
 
-// book books twice with one ticket, as a caller that lost the first reply does.
+// book sends a booking twice with one ticket, like a caller that lost the first
+// reply.
 func (d *demo) book(ctx context.Context, body []byte) {
-	ctx, cancel := context.WithTimeout(ctx, bookingWait)
+	ctx, cancel := context.WithTimeout(ctx, bookingTimeout)
 	defer cancel()
 	started := time.Now()
 	ticket, err := d.clients[callerSales].Ticket(ctx, routeBook)
 	if err != nil {
-		d.report.add(classBooking, time.Since(started), nil, err)
+		d.report.record(classBooking, time.Since(started), nil, err)
 		return
 	}
 	d.checker.Booking(bodyDigest(body))
 	for range 2 {
 		started = time.Now()
 		answer, err := d.clients[callerSales].Book(ctx, routeBook, ticket, client.Booking{Body: body})
-		d.report.add(classBooking, time.Since(started), answer, err)
+		d.report.record(classBooking, time.Since(started), answer, err)
 		if answer != nil {
 			d.checker.BookingAnswer(body, answer)
 		}
 	}
 }
 
-// lostShard takes both servers of one service away and asks on a route that
-// takes partial answers.
-func (d *demo) lostShard(ctx context.Context) error {
-	lost := testbed.ServiceName(indexBookingDesk, 7)
-	for _, standIn := range d.bed.BackendsOf(lost) {
+// checkLostShard stops both servers of one service and checks that a query returns
+// a partial answer.
+func (d *demo) checkLostShard(ctx context.Context) error {
+	service := testbed.ServiceName(indexBookingDesk, 7)
+	for _, standIn := range d.bed.BackendsOf(service) {
 		if err := standIn.Close(); err != nil {
 			return err
 		}
 	}
 	answer := d.query(ctx, callerScreens, routeScreens, classInteractive, 250*time.Millisecond, []byte(`{"lost":"shard"}`))
 	if answer == nil || answer.Coverage == nil {
-		return errors.New("no answer with one shard lost")
+		return errors.New("query with a lost shard: got no answer")
 	}
 	fmt.Fprintf(d.options.Out, "service %s lost both servers: answer is %s, %d of %d shards, missing %v\n",
-		lost, answer.Name, answer.Coverage.Have, answer.Coverage.Total, answer.Missing)
+		service, answer.Name, answer.Coverage.Have, answer.Coverage.Total, answer.Missing)
 	if answer.Coverage.Complete {
-		return errors.New("an answer with a lost shard says that it is complete")
+		return errors.New("query with a lost shard: the answer claims to be complete")
 	}
-	for _, standIn := range d.bed.BackendsOf(lost) {
+	for _, standIn := range d.bed.BackendsOf(service) {
 		d.bed.List(standIn, metastore.StateLeaving)
 	}
 	return nil
 }
 
-// refusal asks on a route that needs every shard, of which one is now lost.
-func (d *demo) refusal(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, bookingWait)
+// sendForbiddenQuery sends a query to a route that the caller may not use.
+func (d *demo) sendForbiddenQuery(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, bookingTimeout)
 	defer cancel()
 	_, err := d.clients[callerScreens].Query(ctx, routeInventory, client.Query{Body: []byte(`{}`)})
-	fmt.Fprintf(d.options.Out, "a caller on a route that is not its own is refused: %s\n", errText(err))
+	fmt.Fprintf(d.options.Out, "a caller on a route that is not its own is refused: %s\n", errorText(err))
 }
 
-func (d *demo) keep(ctx context.Context) {
-	fmt.Fprintln(d.options.Out, "\nserving on; try:")
+// serveUntilDone prints commands to try and waits until ctx ends.
+func (d *demo) serveUntilDone(ctx context.Context) {
+	fmt.Fprintln(d.options.Out, "\nserving until interrupted; try:")
 	for _, address := range d.bed.CallerAddresses() {
 		fmt.Fprintf(d.options.Out, "  curl -s -H 'Authorization: Bearer %s' -d '{\"body\":{\"day\":\"monday\"}}' http://%s/v1/query/%s\n",
-			tokenOf(callerSales), address, routeSlots)
+			tokenFor(callerSales), address, routeSlots)
 	}
 	for _, host := range d.bed.Hosts() {
 		fmt.Fprintf(d.options.Out, "  curl -s http://%s/v1/status\n", host.OperatorAddress())
@@ -235,7 +236,7 @@
 	<-ctx.Done()
 }
 
-func errText(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
