--- a/cli/demo.go
+++ b/cli/demo.go
@@ -31,7 +31,7 @@
 		},
 	}
 	flags := command.Flags()
-	flags.DurationVar(&options.For, "for", 5*time.Second, "how long to send requests")
+	flags.DurationVar(&options.Duration, "for", 5*time.Second, "how long to send requests")
 	flags.Uint64Var(&options.Seed, "seed", 1, "random seed of service times and arrivals")
 	flags.BoolVar(&options.Keep, "keep", false, "keep serving after the report and print commands to try")
 	flags.StringVar(&level, "log", "error", "log level: debug, info, warn or error")
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -18,8 +18,8 @@
 
 // Options configure the demo.
 type Options struct {
-	// For is how long requests are sent.
-	For time.Duration
+	// Duration is how long requests are sent.
+	Duration time.Duration
 	// Seed is the random seed of arrivals and of the stand-ins' service times.
 	Seed uint64
 	// Keep keeps the hosts running after the report until ctx ends.
@@ -116,7 +116,7 @@
 
 // sendRequests sends requests of every class with exponential interarrival times.
 func (d *demo) sendRequests(ctx context.Context) {
-	duration := d.options.For
+	duration := d.options.Duration
 	random := rand.New(rand.NewPCG(d.options.Seed, 1))
 	start := time.Now()
 	next := start
