--- a/client/advice.go
+++ b/client/advice.go
@@ -124,8 +124,7 @@
 	return all
 }
 
-// filter returns the hosts that were not tried, and those of them that are not
-// avoided.
+// filter returns the untried hosts, and as available those that are not avoided.
 func (h *hostPool) filter(all []entry.Host, now time.Time, tried map[string]bool) (available, untried []entry.Host) {
 	for _, c := range all {
 		if tried[c.Address] || c.Weight <= 0 {
--- a/client/client.go
+++ b/client/client.go
@@ -151,7 +151,7 @@
 
 // Book runs a booking with a ticket. After any error it may be called again with
 // the same ticket and Resent set: the booking never runs twice, and the call
-// returns the outcome of the first one.
+// returns the outcome of the first run.
 func (c *Client) Book(ctx context.Context, route, ticket string, b Booking) (*Answer, error) {
 	remaining, err := c.remainingTime(ctx)
 	if err != nil {
@@ -167,6 +167,7 @@
 	})
 }
 
+// remainingTime returns a function that computes the time left until ctx's deadline.
 func (c *Client) remainingTime(ctx context.Context) (func() time.Duration, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
