--- a/demo/config.go
+++ b/demo/config.go
@@ -42,12 +42,12 @@
 }
 
 // Groups returns the backend servers of the demo's two indexes.
-func Groups() []testbed.Group {
-	group := testbed.Group{Servers: 2, Slots: 2, Connections: 25, Time: serviceTime}
+func Groups() []testbed.ServiceGroup {
+	group := testbed.ServiceGroup{Servers: 2, Slots: 2, Connections: 25, Time: serviceTime}
 	desk, planner := group, group
 	desk.Index, desk.Services = indexBookingDesk, 20
 	planner.Index, planner.Services = indexTransitPlanner, 30
-	return []testbed.Group{desk, planner}
+	return []testbed.ServiceGroup{desk, planner}
 }
 
 // Documents returns the demo's bundle without its services, which the testbed
@@ -85,6 +85,6 @@
 				Prefer: bundle.PreferCoverage, MinCoverage: 1,
 			},
 		},
-		Policy: bundle.Policy{AdviceFor: bundle.Duration(5 * time.Second)},
+		Policy: bundle.Policy{AdviceTTL: bundle.Duration(5 * time.Second)},
 	}
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -53,7 +53,7 @@
 	defer bed.Close()
 	fmt.Fprintf(opts.Out, "a signed bundle is in force on all hosts, generation %d\n", bed.Hosts()[0].Status().Generation)
 	d := &demo{bed: bed, options: opts, report: newReport()}
-	d.checker = testbed.NewChecker(bed.Record, bed.Published)
+	d.checker = testbed.NewChecker(bed.Record, bed.ShardCount)
 	if err := d.run(ctx); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 
 // demo is one run of the demo.
 type demo struct {
-	bed     *testbed.Bed
+	bed     *testbed.Cluster
 	options Options
 	checker *testbed.Checker
 	report  *report
@@ -162,7 +162,7 @@
 	answer, err := d.clients[caller].Query(ctx, route, client.Query{Class: class, Body: body, Detail: true})
 	d.report.record(class, time.Since(started), answer, err)
 	if answer != nil {
-		d.checker.Answer(body, answer)
+		d.checker.CheckAnswer(body, answer)
 	}
 	return answer
 }
@@ -180,13 +180,13 @@
 		d.report.record(classBooking, time.Since(started), nil, err)
 		return
 	}
-	d.checker.Booking(bodyDigest(body))
+	d.checker.AddBooking(bodyDigest(body))
 	for range 2 {
 		started = time.Now()
 		answer, err := d.clients[callerSales].Book(ctx, routeBook, ticket, client.Booking{Body: body})
 		d.report.record(classBooking, time.Since(started), answer, err)
 		if answer != nil {
-			d.checker.BookingAnswer(body, answer)
+			d.checker.CheckBookingAnswer(body, answer)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 // a partial answer.
 func (d *demo) checkLostShard(ctx context.Context) error {
 	service := testbed.ServiceName(indexBookingDesk, 7)
-	for _, standIn := range d.bed.BackendsOf(service) {
+	for _, standIn := range d.bed.BackendsOfService(service) {
 		if err := standIn.Close(); err != nil {
 			return err
 		}
@@ -209,8 +209,8 @@
 	if answer.Coverage.Complete {
 		return errors.New("query with a lost shard: the answer claims to be complete")
 	}
-	for _, standIn := range d.bed.BackendsOf(service) {
-		d.bed.List(standIn, metastore.StateLeaving)
+	for _, standIn := range d.bed.BackendsOfService(service) {
+		d.bed.SetServerState(standIn, metastore.StateLeaving)
 	}
 	return nil
 }
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -11,14 +11,14 @@
 
 // Limits are the timeouts of a connection. A zero value leaves the server's own.
 type Limits struct {
-	// Header is the time limit for reading a request's header.
-	Header time.Duration
-	// Idle is the time limit for waiting for the next request.
-	Idle time.Duration
+	// HeaderTimeout is the time limit for reading a request's header.
+	HeaderTimeout time.Duration
+	// IdleTimeout is the time limit for waiting for the next request.
+	IdleTimeout time.Duration
 }
 
-// Listener wraps a listener so that its connections observe the current limits.
-func Listener(listener net.Listener, limits func() Limits) net.Listener {
+// NewListener wraps a listener so that its connections observe the current limits.
+func NewListener(listener net.Listener, limits func() Limits) net.Listener {
 	return limitedListener{Listener: listener, limits: limits}
 }
 
@@ -36,8 +36,8 @@
 	return &limitedConn{Conn: conn, limits: l.limits}, nil
 }
 
-// Note must be the server's ConnState hook, which reports idle connections.
-func Note(c net.Conn, state http.ConnState) {
+// ConnState must be the server's ConnState hook, which reports idle connections.
+func ConnState(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*limitedConn); ok {
 		c.setState(state)
 	}
@@ -92,9 +92,9 @@
 	var timeout time.Duration
 	switch c.phase {
 	case awaitingHeader:
-		timeout = limits.Header
+		timeout = limits.HeaderTimeout
 	case idle:
-		timeout = limits.Idle
+		timeout = limits.IdleTimeout
 	}
 	if end := time.Now().Add(timeout + readSlack); timeout > 0 && end.Before(t) {
 		return end
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Short detects within 2.5 s that a connection is dead although no reset was
+// Config detects within 2.5 s that a connection is dead although no reset was
 // received, even if one probe is lost. Without it a watch on such a connection
 // would wait forever.
-var Short = net.KeepAliveConfig{
+var Config = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     time.Second,
 	Interval: 500 * time.Millisecond,
--- a/observe/gauges.go
+++ b/observe/gauges.go
@@ -10,9 +10,9 @@
 	"github.com/goldcrestspan/goldcrestspan/drain"
 )
 
-// View holds the functions that supply the values of a host's gauges at each
+// GaugeSources holds the functions that supply the values of a host's gauges at each
 // scrape. They must be cheap and safe for concurrent use.
-type View struct {
+type GaugeSources struct {
 	Admission  func() admit.Stats
 	Quarantine func() int // number of quarantined requests
 	Phase      func() drain.Phase
@@ -25,9 +25,9 @@
 type Certificate struct {
 	Listener string
 	Expires  time.Time
-	// Refused reports that the changed TLS files can't be used, so that the
+	// ReloadFailed reports that the changed TLS files can't be used, so that the
 	// earlier certificate stays in use.
-	Refused bool
+	ReloadFailed bool
 }
 
 // stopPhases are the values of the label "phase".
@@ -36,7 +36,7 @@
 // gaugeCollector exports a View as gauges. It reads the view once per scrape, so
 // that the gauges of one scrape are consistent.
 type gaugeCollector struct {
-	view View
+	view GaugeSources
 
 	inFlight, bytes                                        *prometheus.Desc
 	classInFlight, classBytes, capacity, pressure, callers *prometheus.Desc
@@ -44,8 +44,8 @@
 	expiry, refused                                        *prometheus.Desc
 }
 
-// RegisterView registers the gauges of a host.
-func RegisterView(reg prometheus.Registerer, view View) error {
+// RegisterGauges registers the gauges of a host.
+func RegisterGauges(reg prometheus.Registerer, view GaugeSources) error {
 	c := &gaugeCollector{
 		view:          view,
 		inFlight:      gaugeDesc("admit_in_flight", "Requests let in and not answered yet."),
@@ -102,7 +102,7 @@
 	send(c.ready, boolValue(c.view.Ready()))
 	for _, certificate := range c.view.Certificates() {
 		send(c.expiry, float64(certificate.Expires.Unix()), certificate.Listener)
-		send(c.refused, boolValue(certificate.Refused), certificate.Listener)
+		send(c.refused, boolValue(certificate.ReloadFailed), certificate.Listener)
 	}
 }
 
--- a/observe/log.go
+++ b/observe/log.go
@@ -25,8 +25,8 @@
 	return config.Build()
 }
 
-// Reason returns the field "error" with the text of err, without its stack trace.
-func Reason(err error) zap.Field {
+// ErrorText returns the field "error" with the text of err, without its stack trace.
+func ErrorText(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
--- a/observe/requestlog.go
+++ b/observe/requestlog.go
@@ -19,11 +19,11 @@
 	maxBatchBytes = 64 << 10
 )
 
-// NewTrafficLogger returns a logger for lines about single requests, in JSON. It
+// NewRequestLogger returns a logger for lines about single requests, in JSON. It
 // never blocks: lines that exceed the rate limit or the queue are dropped and
 // counted, and the next write reports the count. flush writes the queued lines
 // and stops the writer.
-func NewTrafficLogger(out io.Writer) (logger *zap.Logger, flush func()) {
+func NewRequestLogger(out io.Writer) (logger *zap.Logger, flush func()) {
 	writer := &asyncWriter{
 		lines:   make(chan []byte, maxQueuedLines),
 		stop:    make(chan struct{}),
