--- a/demo/demo.go
+++ b/demo/demo.go
@@ -40,7 +40,7 @@
 // Run runs the demo. It returns an error if it can't run or if a check fails.
 func Run(ctx context.Context, opts Options) error {
 	fmt.Fprintf(opts.Out, "starting a platform stand-in, 100 backend server stand-ins and %d entry hosts on loopback\n", hostCount)
-	bed, err := testbed.Start(ctx, testbed.Config{
+	cluster, err := testbed.Start(ctx, testbed.Config{
 		Groups:    Groups(),
 		Hosts:     hostCount,
 		Documents: Documents(),
@@ -50,10 +50,10 @@
 	if err != nil {
 		return err
 	}
-	defer bed.Close()
-	fmt.Fprintf(opts.Out, "a signed bundle is in force on all hosts, generation %d\n", bed.Hosts()[0].Status().Generation)
-	d := &demo{bed: bed, options: opts, report: newReport()}
-	d.checker = testbed.NewChecker(bed.Record, bed.ShardCount)
+	defer cluster.Close()
+	fmt.Fprintf(opts.Out, "a signed bundle is in force on all hosts, generation %d\n", cluster.Hosts()[0].Status().Generation)
+	d := &demo{cluster: cluster, options: opts, report: newReport()}
+	d.checker = testbed.NewChecker(cluster.Record, cluster.ShardCount)
 	if err := d.run(ctx); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 
 // demo is one run of the demo.
 type demo struct {
-	bed     *testbed.Cluster
+	cluster *testbed.Cluster
 	options Options
 	checker *testbed.Checker
 	report  *report
@@ -85,7 +85,7 @@
 	d.sendForbiddenQuery(ctx)
 	d.pending.Wait()
 	time.Sleep(settleTime)
-	d.report.print(d.options.Out, d.bed.Record)
+	d.report.print(d.options.Out, d.cluster.Record)
 	violations, checked := d.checker.Finish()
 	for _, violation := range violations[:min(len(violations), maxPrintedViolations)] {
 		fmt.Fprintln(d.options.Out, "BROKEN", violation)
@@ -100,7 +100,7 @@
 func (d *demo) createClients() error {
 	d.clients = make(map[string]*client.Client)
 	for _, caller := range []string{callerScreens, callerSales, callerTransit} {
-		c, err := client.New(client.Options{Seeds: d.bed.CallerAddresses()[:1], Token: tokenFor(caller)})
+		c, err := client.New(client.Options{Seeds: d.cluster.CallerAddresses()[:1], Token: tokenFor(caller)})
 		if err != nil {
 			return err
 		}
@@ -195,7 +195,7 @@
 // a partial answer.
 func (d *demo) checkLostShard(ctx context.Context) error {
 	service := testbed.ServiceName(indexBookingDesk, 7)
-	for _, standIn := range d.bed.BackendsOfService(service) {
+	for _, standIn := range d.cluster.BackendsOfService(service) {
 		if err := standIn.Close(); err != nil {
 			return err
 		}
@@ -209,8 +209,8 @@
 	if answer.Coverage.Complete {
 		return errors.New("query with a lost shard: the answer claims to be complete")
 	}
-	for _, standIn := range d.bed.BackendsOfService(service) {
-		d.bed.SetServerState(standIn, metastore.StateLeaving)
+	for _, standIn := range d.cluster.BackendsOfService(service) {
+		d.cluster.SetServerState(standIn, metastore.StateLeaving)
 	}
 	return nil
 }
@@ -226,11 +226,11 @@
 // serveUntilDone prints commands to try and waits until ctx ends.
 func (d *demo) serveUntilDone(ctx context.Context) {
 	fmt.Fprintln(d.options.Out, "\nserving until interrupted; try:")
-	for _, address := range d.bed.CallerAddresses() {
+	for _, address := range d.cluster.CallerAddresses() {
 		fmt.Fprintf(d.options.Out, "  curl -s -H 'Authorization: Bearer %s' -d '{\"body\":{\"day\":\"monday\"}}' http://%s/v1/query/%s\n",
 			tokenFor(callerSales), address, routeSlots)
 	}
-	for _, host := range d.bed.Hosts() {
+	for _, host := range d.cluster.Hosts() {
 		fmt.Fprintf(d.options.Out, "  curl -s http://%s/v1/status\n", host.OperatorAddress())
 	}
 	<-ctx.Done()
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -36,7 +36,7 @@
 	return &limitedConn{Conn: conn, limits: l.limits}, nil
 }
 
-// ConnState must be the server's ConnState hook, which reports idle connections.
+// ConnState must be set as the server's ConnState hook. It detects idle connections.
 func ConnState(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*limitedConn); ok {
 		c.setState(state)
--- a/observe/gauges.go
+++ b/observe/gauges.go
@@ -10,8 +10,8 @@
 	"github.com/goldcrestspan/goldcrestspan/drain"
 )
 
-// GaugeSources holds the functions that supply the values of a host's gauges at each
-// scrape. They must be cheap and safe for concurrent use.
+// GaugeSources holds the functions that supply the values of a host's gauges at
+// each scrape. They must be cheap and safe for concurrent use.
 type GaugeSources struct {
 	Admission  func() admit.Stats
 	Quarantine func() int // number of quarantined requests
@@ -33,10 +33,10 @@
 // stopPhases are the values of the label "phase".
 var stopPhases = [...]drain.Phase{drain.PhaseServing, drain.PhaseLeaving, drain.PhaseRefusing, drain.PhaseDone}
 
-// gaugeCollector exports a View as gauges. It reads the view once per scrape, so
+// gaugeCollector exports GaugeSources. It reads each source once per scrape, so
 // that the gauges of one scrape are consistent.
 type gaugeCollector struct {
-	view GaugeSources
+	sources GaugeSources
 
 	inFlight, bytes                                        *prometheus.Desc
 	classInFlight, classBytes, capacity, pressure, callers *prometheus.Desc
@@ -45,9 +45,9 @@
 }
 
 // RegisterGauges registers the gauges of a host.
-func RegisterGauges(reg prometheus.Registerer, view GaugeSources) error {
+func RegisterGauges(reg prometheus.Registerer, sources GaugeSources) error {
 	c := &gaugeCollector{
-		view:          view,
+		sources:       sources,
 		inFlight:      gaugeDesc("admit_in_flight", "Requests let in and not answered yet."),
 		bytes:         gaugeDesc("admit_in_flight_bytes", "Bodies of requests in flight, in bytes."),
 		classInFlight: gaugeDesc("admit_class_in_flight", "Requests of the class let in and not answered yet.", "class"),
@@ -84,7 +84,7 @@
 	send := func(desc *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	stats := c.view.Admission()
+	stats := c.sources.Admission()
 	send(c.inFlight, float64(stats.InFlight))
 	send(c.bytes, float64(stats.Bytes))
 	for _, class := range stats.Classes {
@@ -94,13 +94,13 @@
 		send(c.pressure, class.Pressure, class.Name)
 		send(c.callers, float64(class.Callers), class.Name)
 	}
-	send(c.quarantined, float64(c.view.Quarantine()))
-	current := c.view.Phase()
+	send(c.quarantined, float64(c.sources.Quarantine()))
+	current := c.sources.Phase()
 	for _, phase := range stopPhases {
 		send(c.phase, boolValue(phase == current), phase.String())
 	}
-	send(c.ready, boolValue(c.view.Ready()))
-	for _, certificate := range c.view.Certificates() {
+	send(c.ready, boolValue(c.sources.Ready()))
+	for _, certificate := range c.sources.Certificates() {
 		send(c.expiry, float64(certificate.Expires.Unix()), certificate.Listener)
 		send(c.refused, boolValue(certificate.ReloadFailed), certificate.Listener)
 	}
