--- a/bundle/problem.go
+++ b/bundle/problem.go
@@ -8,9 +8,9 @@
 // Problem is one thing that is wrong in a bundle: where, what and the mend.
 type Problem struct {
 	// Path names the place in the documents, as "routes[2].callers[0]".
-	Path string `json:"path"`
-	What string `json:"what"`
-	Mend string `json:"mend"`
+	Path    string `json:"path"`
+	Message string `json:"what"`
+	Fix     string `json:"mend"`
 	// File, Line and Column are set for documents that were read from files;
 	// Line and Column count from 1.
 	File   string `json:"file,omitempty"`
@@ -24,7 +24,7 @@
 	if p.File != "" {
 		where = fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Path)
 	}
-	return strings.TrimPrefix(fmt.Sprintf("%s: %s; %s", where, p.What, p.Mend), ": ")
+	return strings.TrimPrefix(fmt.Sprintf("%s: %s; %s", where, p.Message, p.Fix), ": ")
 }
 
 // Problems is every problem of a bundle. As an error it has a line for each.
@@ -48,5 +48,5 @@
 }
 
 func (ps *Problems) add(path, mend, what string, args ...any) {
-	*ps = append(*ps, Problem{Path: path, What: fmt.Sprintf(what, args...), Mend: mend})
+	*ps = append(*ps, Problem{Path: path, Message: fmt.Sprintf(what, args...), Fix: mend})
 }
--- a/bundle/read.go
+++ b/bundle/read.go
@@ -84,7 +84,7 @@
 	if s.Documents.Policy != (Policy{}) && docs.Policy != (Policy{}) {
 		return Problems{{
 			File: name, Line: 1, Column: 1, Path: "policy",
-			What: "an earlier file has a policy too", Mend: "keep the policy in one file",
+			Message: "an earlier file has a policy too", Fix: "keep the policy in one file",
 		}}
 	}
 	file := sourceFile{name: name, tree: tree, first: map[string]int{
@@ -121,7 +121,7 @@
 	if len(content) > maxFileBytes {
 		return docs, nil, &Problem{
 			File: name, Line: 1, Column: 1, Path: "file",
-			What: fmt.Sprintf("%d bytes are over the limit of %d", len(content), maxFileBytes), Mend: "remove what is unused",
+			Message: fmt.Sprintf("%d bytes are over the limit of %d", len(content), maxFileBytes), Fix: "remove what is unused",
 		}
 	}
 	// The parser is a library that reads what people type; a panic in it is
@@ -129,7 +129,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			docs, tree = Documents{}, nil
-			problem = &Problem{File: name, Line: 1, Column: 1, Path: "file", What: fmt.Sprintf("not YAML that can be read (%v)", cause), Mend: "compare it with the files of bundle init"}
+			problem = &Problem{File: name, Line: 1, Column: 1, Path: "file", Message: fmt.Sprintf("not YAML that can be read (%v)", cause), Fix: "compare it with the files of bundle init"}
 		}
 	}()
 	tree, err := parser.ParseBytes(content, 0)
@@ -156,7 +156,7 @@
 	if len(tree.Docs) > 1 {
 		return &Problem{
 			File: name, Line: 1, Column: 1, Path: "file",
-			What: "it holds several YAML documents", Mend: "put each into its own file, without ---",
+			Message: "it holds several YAML documents", Fix: "put each into its own file, without ---",
 		}
 	}
 	for _, doc := range tree.Docs {
@@ -169,7 +169,7 @@
 			position := finder.found.GetToken().Position
 			return &Problem{
 				File: name, Line: position.Line, Column: position.Column, Path: "file",
-				What: "anchors and aliases are not read", Mend: "write the value out",
+				Message: "anchors and aliases are not read", Fix: "write the value out",
 			}
 		}
 	}
@@ -194,19 +194,19 @@
 const fieldMend = "check its spelling, or remove it; bundle init writes every field"
 
 func problemOf(name string, err error) *Problem {
-	p := &Problem{File: name, Line: 1, Column: 1, Path: "file", What: oneLine(err.Error()), Mend: "compare it with the files of bundle init"}
+	p := &Problem{File: name, Line: 1, Column: 1, Path: "file", Message: oneLine(err.Error()), Fix: "compare it with the files of bundle init"}
 	var positioned yaml.Error
 	if !errors.As(err, &positioned) {
 		return p
 	}
-	p.What = oneLine(positioned.GetMessage())
+	p.Message = oneLine(positioned.GetMessage())
 	if token := positioned.GetToken(); token != nil {
 		p.Line, p.Column = token.Position.Line, token.Position.Column
 		p.Path = strconv.Quote(token.Value)
 	}
 	var unknown *yaml.UnknownFieldError
 	if errors.As(err, &unknown) {
-		p.What, p.Mend = "there is no such field", fieldMend
+		p.Message, p.Fix = "there is no such field", fieldMend
 	}
 	return p
 }
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -117,13 +117,13 @@
 
 // SignatureError says which sign-off is missing or wrong.
 type SignatureError struct {
-	Ref  Ref
-	What string
+	Ref     Ref
+	Message string
 }
 
 // Error writes what is wrong and the mend on one line.
 func (e *SignatureError) Error() string {
-	return fmt.Sprintf("generation %d: %s", e.Ref.Generation, e.What)
+	return fmt.Sprintf("generation %d: %s", e.Ref.Generation, e.Message)
 }
 
 // Verify checks the payload and its sign-offs: the author and at least one
--- a/bundle/validate.go
+++ b/bundle/validate.go
@@ -25,7 +25,7 @@
 	mostQuarantine     = 24 * time.Hour
 	mostServers        = 100
 	leastAdvice        = time.Second
-	mostAdvice         = settings.LongestAdvice
+	mostAdvice         = settings.MaxAdviceTTL
 	mostShare          = 1 + 1e-9 // shares written as thirds may add up to a little over 1
 )
 
--- a/certificates.go
+++ b/certificates.go
@@ -20,11 +20,11 @@
 func (o *Options) certificateViews() []observe.Certificate {
 	views := make([]observe.Certificate, 0, len(o.certificates))
 	for _, c := range o.certificates {
-		expires := c.files.Expires() // reads changed files again
+		expires := c.files.Expiry() // reads changed files again
 		views = append(views, observe.Certificate{
 			Listener: c.listener,
 			Expires:  expires,
-			Refused:  c.files.Failure() != nil,
+			Refused:  c.files.ReloadError() != nil,
 		})
 	}
 	return views
@@ -42,9 +42,9 @@
 		into **tls.Config
 		make func(*certs.Files) *tls.Config
 	}{
-		{"callers", s.Callers, &o.CallerTLS, func(f *certs.Files) *tls.Config { return f.Server(false) }},
-		{"peers", s.Peers, &o.PeerTLS, (*certs.Files).Mutual},
-		{"operators", s.Operators, &o.OperatorTLS, func(f *certs.Files) *tls.Config { return f.Server(s.Operators.Authorities != "") }},
+		{"callers", s.Callers, &o.CallerTLS, func(f *certs.Files) *tls.Config { return f.ServerConfig(false) }},
+		{"peers", s.Peers, &o.PeerTLS, (*certs.Files).MutualConfig},
+		{"operators", s.Operators, &o.OperatorTLS, func(f *certs.Files) *tls.Config { return f.ServerConfig(s.Operators.CAFile != "") }},
 	} {
 		if *listener.into != nil {
 			continue
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -49,15 +49,15 @@
 	return f, nil
 }
 
-// Failure is why the files as they are now can't be used; nil: they are in use.
-func (f *Files) Failure() error {
+// ReloadError is why the files as they are now can't be used; nil: they are in use.
+func (f *Files) ReloadError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failure
 }
 
-// Expires is when the certificate in use ends.
-func (f *Files) Expires() time.Time { return f.current().certificate.Leaf.NotAfter }
+// Expiry is when the certificate in use ends.
+func (f *Files) Expiry() time.Time { return f.current().certificate.Leaf.NotAfter }
 
 // current returns what to use, reading the files again if they changed. Files
 // that are half written or wrong leave the earlier ones in use: a mistake in a
@@ -83,9 +83,9 @@
 	return f.loaded
 }
 
-// Server makes the configuration of a listener. With authorities in the files
+// ServerConfig makes the configuration of a listener. With authorities in the files
 // a client certificate is verified if given, and demanded if require is set.
-func (f *Files) Server(require bool) *tls.Config {
+func (f *Files) ServerConfig(require bool) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		l := f.current()
@@ -106,10 +106,10 @@
 	return base
 }
 
-// Mutual makes the configuration between hosts, which serve and dial with the
+// MutualConfig makes the configuration between hosts, which serve and dial with the
 // same files: each side shows its certificate and verifies the other's.
-func (f *Files) Mutual() *tls.Config {
-	config := f.Server(true)
+func (f *Files) MutualConfig() *tls.Config {
+	config := f.ServerConfig(true)
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 		certificate := f.current().certificate
 		return &certificate, nil
@@ -144,27 +144,27 @@
 }
 
 func read(pair settings.KeyPair) (loaded, error) {
-	certificate, err := tls.LoadX509KeyPair(pair.Certificate, pair.Key)
+	certificate, err := tls.LoadX509KeyPair(pair.CertFile, pair.KeyFile)
 	if err != nil {
 		return loaded{}, errors.Wrap(err, "certs: read certificate and key")
 	}
 	l := loaded{certificate: certificate}
-	if pair.Authorities == "" {
+	if pair.CAFile == "" {
 		return l, nil
 	}
-	raw, err := os.ReadFile(pair.Authorities)
+	raw, err := os.ReadFile(pair.CAFile)
 	if err != nil {
 		return loaded{}, errors.Wrap(err, "certs: read authorities")
 	}
 	l.authorities = x509.NewCertPool()
 	if !l.authorities.AppendCertsFromPEM(raw) {
-		return loaded{}, errors.Errorf("certs: %s holds no certificate in PEM", pair.Authorities)
+		return loaded{}, errors.Errorf("certs: %s holds no certificate in PEM", pair.CAFile)
 	}
 	return l, nil
 }
 
 func stampsOf(pair settings.KeyPair) (stamps [3]time.Time) {
-	for i, name := range []string{pair.Certificate, pair.Key, pair.Authorities} {
+	for i, name := range []string{pair.CertFile, pair.KeyFile, pair.CAFile} {
 		if info, err := os.Stat(name); err == nil {
 			stamps[i] = info.ModTime()
 		}
--- a/settings/cross.go
+++ b/settings/cross.go
@@ -23,10 +23,10 @@
 			d.checkNoFiles(p.key, p.pair)
 			continue
 		}
-		d.wantFile(p.key+".certificate", p.pair.Certificate)
-		d.wantFile(p.key+".key", p.pair.Key)
+		d.wantFile(p.key+".certificate", p.pair.CertFile)
+		d.wantFile(p.key+".key", p.pair.KeyFile)
 		if p.mutual {
-			d.wantFile(p.key+".authorities", p.pair.Authorities)
+			d.wantFile(p.key+".authorities", p.pair.CAFile)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 const cutOffCalls = 2
 
 func (d *decoder) checkTimes(s *Settings) {
-	d.wantLess("limits.stop_wait", 2*LongestAdvice, s.Limits.StopWait,
+	d.wantLess("limits.stop_wait", 2*MaxAdviceTTL, s.Limits.StopWait,
 		"a stopping host must outlast twice the longest time that callers keep advice")
 	d.wantAtMost("limits.cut_off_after", cutOffCalls*s.Platform.Timeout, s.Limits.CutOffAfter,
 		"one slow call to the platform must not cut the host off")
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -23,7 +23,7 @@
 var durationType = reflect.TypeFor[time.Duration]()
 
 func (d *decoder) report(at Position, key, what, mend string) {
-	d.problems = append(d.problems, Problem{File: d.file, Position: at, Key: key, What: what, Mend: mend})
+	d.problems = append(d.problems, Problem{File: d.file, Position: at, Key: key, Message: what, Fix: mend})
 }
 
 // value decodes one node into out, whose type is one of those in Settings.
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -17,9 +17,9 @@
 type Problem struct {
 	File string
 	Position
-	Key  string // dotted path of the key, such as limits.stop_wait
-	What string
-	Mend string
+	Key     string // dotted path of the key, such as limits.stop_wait
+	Message string
+	Fix     string
 }
 
 // String writes where, what and the mend on one line.
@@ -28,7 +28,7 @@
 	if p.Key != "" {
 		key = p.Key + ": "
 	}
-	line := fmt.Sprintf("%s:%d:%d: %s%s; %s", p.File, p.Line, p.Column, key, p.What, p.Mend)
+	line := fmt.Sprintf("%s:%d:%d: %s%s; %s", p.File, p.Line, p.Column, key, p.Message, p.Fix)
 	return oneLine.Replace(line)
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -49,10 +49,10 @@
 
 // KeyPair names the PEM files of one listener; they are read again when they change.
 type KeyPair struct {
-	Certificate string `yaml:"certificate,omitempty"`
-	Key         string `yaml:"key,omitempty"`
-	// Authorities verify the other side's certificate.
-	Authorities string `yaml:"authorities,omitempty"`
+	CertFile string `yaml:"certificate,omitempty"`
+	KeyFile  string `yaml:"key,omitempty"`
+	// CAFile verify the other side's certificate.
+	CAFile string `yaml:"authorities,omitempty"`
 }
 
 // Keys are the ed25519 public keys, in base64, that may sign bundles. A bundle
@@ -85,10 +85,10 @@
 	Format string `yaml:"format" validate:"oneof=json console"`
 }
 
-// LongestAdvice is the longest time that a bundle may let callers keep the
+// MaxAdviceTTL is the longest time that a bundle may let callers keep the
 // advice on entry hosts. A stopping host must outlast it twice: once for
 // advice given just before it left, once for the work that still comes of it.
-const LongestAdvice = 20 * time.Second
+const MaxAdviceTTL = 20 * time.Second
 
 // Defaults are the values of the keys that a file may leave out.
 func Defaults() Settings {
