--- a/certificates.go
+++ b/certificates.go
@@ -10,51 +10,51 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-// listenerFiles are the TLS files of one listener, for the metrics.
-type listenerFiles struct {
+// listenerCertificates is the TLS files of one listener.
+type listenerCertificates struct {
 	listener string
 	files    *certs.Files
 }
 
-// certificateViews tells of the certificates in use.
-func (o *Options) certificateViews() []observe.Certificate {
-	views := make([]observe.Certificate, 0, len(o.certificates))
+// certificateMetrics reports expiry and reload state of the certificates in use.
+func (o *Options) certificateMetrics() []observe.Certificate {
+	metrics := make([]observe.Certificate, 0, len(o.certificates))
 	for _, c := range o.certificates {
-		expires := c.files.Expiry() // reads changed files again
-		views = append(views, observe.Certificate{
+		expiry := c.files.Expiry() // reloads changed files first
+		metrics = append(metrics, observe.Certificate{
 			Listener: c.listener,
-			Expires:  expires,
+			Expires:  expiry,
 			Refused:  c.files.ReloadError() != nil,
 		})
 	}
-	return views
+	return metrics
 }
 
-// openCertificates makes the TLS of the three listeners from the settings'
-// files, where the embedding program gave none of its own.
-func (o *Options) openCertificates(s settings.TLS) error {
+// loadCertificates builds the TLS configurations of the three listeners from the
+// files in the settings, unless the embedding program supplied its own.
+func (o *Options) loadCertificates(s settings.TLS) error {
 	if s.PlainText {
 		return nil
 	}
 	for _, listener := range []struct {
-		name string
-		pair settings.KeyPair
-		into **tls.Config
-		make func(*certs.Files) *tls.Config
+		name   string
+		pair   settings.KeyPair
+		target **tls.Config
+		build  func(*certs.Files) *tls.Config
 	}{
 		{"callers", s.Callers, &o.CallerTLS, func(f *certs.Files) *tls.Config { return f.ServerConfig(false) }},
 		{"peers", s.Peers, &o.PeerTLS, (*certs.Files).MutualConfig},
 		{"operators", s.Operators, &o.OperatorTLS, func(f *certs.Files) *tls.Config { return f.ServerConfig(s.Operators.CAFile != "") }},
 	} {
-		if *listener.into != nil {
+		if *listener.target != nil {
 			continue
 		}
 		files, err := certs.Open(listener.pair, o.Now)
 		if err != nil {
 			return errors.Wrapf(err, "tls.%s", listener.name)
 		}
-		*listener.into = listener.make(files)
-		o.certificates = append(o.certificates, listenerFiles{listener.name, files})
+		*listener.target = listener.build(files)
+		o.certificates = append(o.certificates, listenerCertificates{listener.name, files})
 	}
 	return nil
 }
--- a/parts.go
+++ b/components.go
@@ -29,75 +29,75 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// clock is the time source that every part shares.
+// clock is the time source that all components share.
 type clock func() time.Time
 
-// lifetime ends when the host has stopped.
+// lifetime is a context that ends when the host has stopped.
 type lifetime struct{ context.Context }
 
-// listeners are open before any part starts, so that ports of 0 are known.
+// listeners are opened before any component starts, so that the ports chosen for
+// port 0 are known.
 type listeners struct {
 	callers, peers, operators net.Listener
 }
 
-// parts are what the container builds; the host runs them.
-type parts struct {
+// components is what the container builds and the host runs.
+type components struct {
 	dig.In
 
-	Settings    settings.Settings
-	Now         clock
-	Log         *zap.Logger
-	Registry    *prometheus.Registry
-	Metrics     *observe.Metrics
-	Listeners   *listeners
-	Pool        *peer.Pool
-	PeerServer  *peer.Server
-	Member      *member.Agent
-	Rollout     *rollout.Agent
-	Catalog     *catalog.Agent
-	Homes       *homes
-	Local       *homeserver.Server
-	Pins        *snapshot.Pins
-	Coordinator *scatter.Coordinator
-	Incarnation ident.Incarnation
-	Desk        *booking.Executor
-	Servers     *servers
-	Admission   *admit.Controller
-	Advisor     *entry.Advisor
-	Crashes     *crashes
-	Late        *late
+	Settings      settings.Settings
+	Now           clock
+	Log           *zap.Logger
+	Registry      *prometheus.Registry
+	Metrics       *observe.Metrics
+	Listeners     *listeners
+	Pool          *peer.Pool
+	PeerServer    *peer.Server
+	Member        *member.Agent
+	Rollout       *rollout.Agent
+	Catalog       *catalog.Agent
+	Homes         *homeResolver
+	HomeServer    *homeserver.Server
+	Pins          *snapshot.Pins
+	Coordinator   *scatter.Coordinator
+	Incarnation   ident.Incarnation
+	Bookings      *booking.Executor
+	Servers       *serverRegistry
+	Admission     *admit.Controller
+	Advisor       *entry.Advisor
+	CrashDetector *crashDetector
+	Hooks         *runtimeHooks
 }
 
-// late is what parts built early need of parts built later. It is bound before
-// anything runs.
-type late struct {
-	configNews func(member.ConfigUpdate)
-	runBooking booking.Runner
-	applied    func(*bundle.Config)
-	watcher    homeserver.AttemptObserver
-	backend    func(member.BackendUpdate)
-	suspect    func(member.SuspectRequestUpdate)
-	replaced   func()
+// runtimeHooks lets components call others that are built later. It is bound before
+// any component runs.
+type runtimeHooks struct {
+	configUpdate  func(member.ConfigUpdate)
+	runBooking    booking.Runner
+	configApplied func(*bundle.Config)
+	observer      homeserver.AttemptObserver
+	backendUpdate func(member.BackendUpdate)
+	suspectUpdate func(member.SuspectRequestUpdate)
+	replaced      func()
 }
 
-func (l *late) bind(h *Host) {
-	l.configNews = func(news member.ConfigUpdate) {
-		h.parts.Rollout.HandleConfigUpdate(&memberpb.ConfigNews{
-			Generation:   news.Generation,
-			ManifestHash: news.ManifestHash,
-		}, news.FromAddress)
+func (r *runtimeHooks) bind(h *Host) {
+	r.configUpdate = func(update member.ConfigUpdate) {
+		h.components.Rollout.HandleConfigUpdate(&memberpb.ConfigNews{
+			Generation:   update.Generation,
+			ManifestHash: update.ManifestHash,
+		}, update.FromAddress)
 	}
-	l.runBooking = h.runBooking
-	l.applied = h.configure
-	l.watcher = h.parts.Crashes
-	l.suspect = h.parts.Crashes.absorb
-	l.replaced = h.beReplaced
-	l.backend = h.parts.Servers.absorb
+	r.runBooking = h.runBooking
+	r.configApplied = h.applyConfig
+	r.observer = h.components.CrashDetector
+	r.suspectUpdate = h.components.CrashDetector.merge
+	r.replaced = h.stopReplaced
+	r.backendUpdate = h.components.Servers.merge
 }
 
-// build wires every part in one place. Each constructor below names what it
-// needs; the container orders them.
-func build(ctx context.Context, s settings.Settings, o Options) (parts, error) {
+// build constructs the components through a dependency injection container.
+func build(ctx context.Context, s settings.Settings, o Options) (components, error) {
 	container := dig.New()
 	constructors := []any{
 		func() settings.Settings { return s },
@@ -110,32 +110,32 @@
 		openListeners,
 		func() *peer.Pool { return peer.NewPool(o.PeerTLS) },
 		peer.NewServer,
-		func() (metastore.Store, metastore.HostList) { return openPlatform(s, o) },
+		func() (metastore.Store, metastore.HostList) { return openStore(s, o) },
 		func(configs *rollout.Agent, registry *prometheus.Registry) (backend.Runner, error) {
-			return openBackends(s, o, configs, registry)
+			return newBackendRunner(s, o, configs, registry)
 		},
 		func(now clock) *snapshot.Pins { return snapshot.NewPins(now) },
 		newMember,
 		newRollout,
-		newLocal,
-		newExchange,
-		newHomesPart,
-		newServers,
+		newHomeServer,
+		newExchangeClient,
+		provideHomeResolver,
+		newServerRegistry,
 		newCatalog,
 		newAdmission,
 		entry.NewAdvisor,
-		newCrashes,
+		newCrashDetector,
 		newCoordinator,
-		newDesk,
-		func() *late { return &late{} },
+		newBookingExecutor,
+		func() *runtimeHooks { return &runtimeHooks{} },
 	}
 	for _, constructor := range constructors {
 		if err := container.Provide(constructor); err != nil {
-			return parts{}, errors.Wrap(err, "wire the host")
+			return components{}, errors.Wrap(err, "wire the host")
 		}
 	}
-	var built parts
-	err := container.Invoke(func(p parts) { built = p })
+	var built components
+	err := container.Invoke(func(p components) { built = p })
 	return built, errors.Wrap(dig.RootCause(err), "build the host")
 }
 
@@ -143,7 +143,7 @@
 	l := &listeners{}
 	for _, open := range []struct {
 		address string
-		into    *net.Listener
+		target  *net.Listener
 	}{
 		{s.Listeners.Callers, &l.callers},
 		{s.Listeners.Peers, &l.peers},
@@ -154,7 +154,7 @@
 			l.close()
 			return nil, errors.Wrap(err, "listen")
 		}
-		*open.into = listener
+		*open.target = listener
 	}
 	return l, nil
 }
@@ -167,7 +167,7 @@
 	}
 }
 
-func openPlatform(s settings.Settings, o Options) (metastore.Store, metastore.HostList) {
+func openStore(s settings.Settings, o Options) (metastore.Store, metastore.HostList) {
 	if o.Store != nil {
 		return o.Store, o.HostList
 	}
@@ -175,24 +175,22 @@
 	return client, client
 }
 
-func openBackends(s settings.Settings, o Options, configs *rollout.Agent, registry *prometheus.Registry) (backend.Runner, error) {
+func newBackendRunner(s settings.Settings, o Options, configs *rollout.Agent, registry *prometheus.Registry) (backend.Runner, error) {
 	if o.Backends != nil {
 		return o.Backends, nil
 	}
 	client := backend.NewClient(backend.Options{
 		MaxReplyBytes: int64(s.Limits.BackendReplyBytes),
-		Limit:         func(server backend.Server) int { return connectionShare(configs.Config(), server.Service) },
+		Limit:         func(server backend.Server) int { return connectionLimit(configs.Config(), server.Service) },
 	})
 	return client, client.RegisterMetrics(registry)
 }
 
-// connectionShare is how many connections this host opens to one server of the
-// service: half of the server's limit. With one view of the members only the
-// service's home connects. While views differ there can be two homes, and a
-// server whose limit they both used up would turn away either at random; with a
-// half each, both are served until the views agree.
-func connectionShare(config *bundle.Config, service string) int {
-	const homesAtOnce = 2
+// connectionLimit returns how many connections this host may open to one server of
+// the service: half of the server's limit, since a service has two homes while
+// the hosts' membership views differ.
+func connectionLimit(config *bundle.Config, service string) int {
+	const maxHomes = 2
 	if config == nil {
 		return 1
 	}
@@ -200,5 +198,5 @@
 	if !ok {
 		return 1
 	}
-	return max(1, spec.ConnectionsPerServer/homesAtOnce)
+	return max(1, spec.ConnectionsPerServer/maxHomes)
 }
--- a/parts_control.go
+++ b/components_control.go
@@ -13,7 +13,7 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-func newMember(s settings.Settings, l *listeners, pool *peer.Pool, list metastore.HostList, now clock, log *zap.Logger, registry *prometheus.Registry, incarnation ident.Incarnation, later *late) *member.Agent {
+func newMember(s settings.Settings, l *listeners, pool *peer.Pool, list metastore.HostList, now clock, log *zap.Logger, registry *prometheus.Registry, incarnation ident.Incarnation, hooks *runtimeHooks) *member.Agent {
 	return member.NewAgent(member.AgentConfig{
 		Membership: member.Config{
 			Self: member.Host{
@@ -31,16 +31,16 @@
 		Now:             now,
 		Logger:          log,
 		Registerer:      registry,
-		OnConfigUpdate:  func(news member.ConfigUpdate) { later.configNews(news) },
-		OnBackendUpdate: func(news member.BackendUpdate) { later.backend(news) },
+		OnConfigUpdate:  func(update member.ConfigUpdate) { hooks.configUpdate(update) },
+		OnBackendUpdate: func(update member.BackendUpdate) { hooks.backendUpdate(update) },
 
-		OnReplaced: func() { later.replaced() },
+		OnReplaced: func() { hooks.replaced() },
 
-		OnSuspectRequest: func(news member.SuspectRequestUpdate) { later.suspect(news) },
+		OnSuspectRequest: func(update member.SuspectRequestUpdate) { hooks.suspectUpdate(update) },
 	})
 }
 
-func newRollout(s settings.Settings, l *listeners, store metastore.Store, pool *peer.Pool, members *member.Agent, now clock, log *zap.Logger, registry *prometheus.Registry, later *late) (*rollout.Agent, error) {
+func newRollout(s settings.Settings, l *listeners, store metastore.Store, pool *peer.Pool, members *member.Agent, now clock, log *zap.Logger, registry *prometheus.Registry, hooks *runtimeHooks) (*rollout.Agent, error) {
 	signers, err := bundle.NewSigners(s.Keys.Signers)
 	if err != nil {
 		return nil, err
@@ -51,21 +51,21 @@
 		Peers:         pool,
 		Signers:       signers,
 		IsWatcher:     func() bool { return members.View().IsWatcher(s.Host.Zone, watchersPerZone) },
-		PeerAddresses: func() []string { return livePeers(members.View(), s.Peers) },
+		PeerAddresses: func() []string { return peerAddresses(members.View(), s.Peers) },
 		Now:           now,
 		Logger:        log,
 		Registerer:    registry,
-		OnApplied:     func(config *bundle.Config) { later.applied(config) },
+		OnApplied:     func(config *bundle.Config) { hooks.configApplied(config) },
 	}), nil
 }
 
-// watchersPerZone hosts of each availability zone watch the platform: one may
-// be lost, and another may be starting, without the zone going blind.
+// watchersPerZone is the number of hosts in each availability zone that watch the
+// platform. Three tolerate one lost and one starting watcher.
 const watchersPerZone = 3
 
-// livePeers are the peers' listeners of the other serving hosts; before any is
-// known, the addresses of the settings.
-func livePeers(view *member.View, seeds []string) []string {
+// peerAddresses returns the peer listeners of the other serving hosts, or the seeds
+// if none is known.
+func peerAddresses(view *member.View, seeds []string) []string {
 	var addresses []string
 	for _, host := range view.Hosts {
 		if host.ID != view.Self && host.Serving() {
--- a/example_test.go
+++ b/example_test.go
@@ -12,8 +12,8 @@
 )
 
 // Example runs an entry host in this process, with stand-ins for the platform
-// and two services of two backend servers, and asks it as a caller does.
-// testbed.StartHost shows the settings that goldcrestspan.New is given.
+// and for two services of two backend servers each, and sends it a query.
+// testbed.StartHost shows the settings to pass to goldcrestspan.New.
 func Example() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/answers.go
+++ b/front_service.go
@@ -19,34 +19,33 @@
 
 // Query implements front.Service.
 func (h *Host) Query(ctx context.Context, q front.Query) (*scatter.Answer, *result.Error) {
-	if refused := h.parts.Crashes.book.Check(h.parts.Now(), fingerprint(q)); refused != nil {
-		return nil, refused
+	if refusal := h.components.CrashDetector.registry.Check(h.components.Now(), fingerprint(q)); refusal != nil {
+		return nil, refusal
 	}
-	work, refused := h.plan(q)
-	if refused != nil {
-		return nil, refused
+	spec, refusal := h.plan(q)
+	if refusal != nil {
+		return nil, refusal
 	}
-	started := h.parts.Now()
-	pass, refused := h.parts.Admission.Admit(started, h.ask(q, work))
-	if refused != nil {
-		return nil, refused
+	started := h.components.Now()
+	permit, refusal := h.components.Admission.Admit(started, h.admissionRequest(q, spec))
+	if refusal != nil {
+		return nil, refusal
 	}
-	answer := h.run(ctx, q, work)
-	h.parts.Admission.Release(h.parts.Now(), pass, observed(answer))
-	h.parts.Crashes.answered(started, fingerprint(q), answer)
+	answer := h.runQuery(ctx, q, spec)
+	h.components.Admission.Release(h.components.Now(), permit, completionOf(answer))
+	h.components.CrashDetector.recordAnswer(started, fingerprint(q), answer)
 	return answer, nil
 }
 
-// fingerprint tells requests apart for the quarantine: the same route, caller
-// and body crash the same servers.
+// fingerprint identifies a request for the quarantine by route, caller and body.
 func fingerprint(q front.Query) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(q.Route.Name, q.Caller.Name, q.Body)
 }
 
-// ask describes a query to the admission.
-func (h *Host) ask(q front.Query, work scatter.QuerySpec) admit.Request {
+// admissionRequest describes a query to the admission controller.
+func (h *Host) admissionRequest(q front.Query, spec scatter.QuerySpec) admit.Request {
 	_, class, _ := h.Config().Class(q.Class)
-	shards := work.Snapshot.Shards
+	shards := spec.Snapshot.Shards
 	services := make([]string, len(shards))
 	for i := range shards {
 		services[i] = shards[i].Service
@@ -58,32 +57,32 @@
 		Deadline: q.Deadline,
 		Bytes:    len(q.Body),
 		Services: services,
-		MinLegs:  int(math.Ceil(work.MinCoverage * float64(len(shards)))),
+		MinLegs:  int(math.Ceil(spec.MinCoverage * float64(len(shards)))),
 	}
 }
 
-// observed tells the admission what became of a query.
-func observed(answer *scatter.Answer) admit.Completion {
+// completionOf describes a finished query to the admission controller.
+func completionOf(answer *scatter.Answer) admit.Completion {
 	group := answer.Code.Group()
-	o := admit.Completion{
+	completion := admit.Completion{
 		Answered:  group == result.GroupComplete || group == result.GroupPartial,
 		Abandoned: answer.Code == result.Cancelled,
 		Legs:      make([]admit.LegTiming, len(answer.Legs)),
 	}
 	for i, l := range answer.Legs {
-		o.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, Wait: l.Wait, TimedOut: l.TimedOut}
+		completion.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, Wait: l.Wait, TimedOut: l.TimedOut}
 	}
-	return o
+	return completion
 }
 
 // Ticket implements front.Service.
 func (h *Host) Ticket(q front.Query) (string, *result.Error) {
-	return h.parts.Desk.Issue(q.Caller.Name, q.Route.Name), nil
+	return h.components.Bookings.Issue(q.Caller.Name, q.Route.Name), nil
 }
 
 // Book implements front.Service.
 func (h *Host) Book(ctx context.Context, b front.Booking) (result.Code, []byte, *result.Error) {
-	outcome := h.parts.Desk.Book(ctx, booking.Request{
+	outcome := h.components.Bookings.Book(ctx, booking.Request{
 		RequestID:      b.Request,
 		Ticket:         b.Ticket,
 		IdempotencyKey: b.IdempotencyKey,
@@ -99,29 +98,29 @@
 	return outcome.Code, outcome.Answer, nil
 }
 
-// runBooking is the one run of a booking: a single leg, never hedged and never
-// retried after an unknown outcome. It also runs bookings that peers forwarded,
-// so it finds route and caller by name.
+// runBooking runs a booking as a single leg that is neither hedged nor retried
+// after an unknown outcome. Peers forward bookings too, so route and caller are
+// looked up by name.
 func (h *Host) runBooking(ctx context.Context, r booking.Request) booking.Result {
-	q, refused := h.bookingQuery(r)
-	if refused != nil {
-		return booking.Result{Code: refused.Code, Detail: refused.Detail}
+	q, refusal := h.bookingQuery(r)
+	if refusal != nil {
+		return booking.Result{Code: refusal.Code, Detail: refusal.Detail}
 	}
-	if refused := h.parts.Crashes.book.Check(h.parts.Now(), fingerprint(q)); refused != nil {
-		return booking.Result{Code: refused.Code, Detail: refused.Detail}
+	if refusal := h.components.CrashDetector.registry.Check(h.components.Now(), fingerprint(q)); refusal != nil {
+		return booking.Result{Code: refusal.Code, Detail: refusal.Detail}
 	}
-	work, refused := h.plan(q)
-	if refused != nil {
-		return booking.Result{Code: refused.Code, Detail: refused.Detail}
+	spec, refusal := h.plan(q)
+	if refusal != nil {
+		return booking.Result{Code: refusal.Code, Detail: refusal.Detail}
 	}
-	answer := h.parts.Coordinator.Run(ctx, oneShard(work))
+	answer := h.components.Coordinator.Run(ctx, narrowToShard(spec))
 	outcome := booking.Result{Code: answer.Code, Detail: answer.Detail}
 	if answer.Code != result.Complete {
 		return outcome
 	}
 	raw, err := json.Marshal(front.ReplyOf(answer, q.Route.Index, true))
 	if err != nil {
-		// It ran; only its body can't be passed on.
+		// The booking ran, so the result must not be "not run".
 		return booking.Result{Code: result.BackendFailed, Detail: "the backend server's body is not JSON"}
 	}
 	outcome.Answer = raw
@@ -151,14 +150,13 @@
 	}, nil
 }
 
-// Hosts implements front.Service. A caller that names no region is taken to be
-// in this host's.
+// Hosts implements front.Service. The region defaults to this host's.
 func (h *Host) Hosts(key, region, zone string) entry.Advice {
 	if region == "" {
-		region = h.parts.Settings.Host.Region
+		region = h.components.Settings.Host.Region
 	}
-	asker := entry.AdviceRequest{Key: key, Region: region, Zone: zone}
-	keep := time.Duration(h.Config().Policy.AdviceFor)
+	request := entry.AdviceRequest{Key: key, Region: region, Zone: zone}
+	ttl := time.Duration(h.Config().Policy.AdviceFor)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return h.parts.Advisor.Advise(h.parts.Member.View(), asker, keep, random)
+	return h.components.Advisor.Advise(h.components.Member.View(), request, ttl, random)
 }
--- a/homes.go
+++ b/home_resolver.go
@@ -11,9 +11,9 @@
 	"github.com/goldcrestspan/goldcrestspan/place"
 )
 
-// homes tells where the legs of a query run: at this host's own homes, or at a
-// peer's over the exchange. It implements scatter.Homes.
-type homes struct {
+// homeResolver finds the home of each service, on this host or at a peer over the
+// exchange. It implements scatter.Homes.
+type homeResolver struct {
 	view     func() *member.View
 	local    *homeserver.Server
 	remote   *exchange.Client
@@ -21,19 +21,19 @@
 	cache    place.Cache
 }
 
-func newHomes(view func() *member.View, local *homeserver.Server, remote *exchange.Client) *homes {
-	h := &homes{view: view, local: local, remote: remote}
+func newHomeResolver(view func() *member.View, local *homeserver.Server, remote *exchange.Client) *homeResolver {
+	h := &homeResolver{view: view, local: local, remote: remote}
 	h.services.Store(&[]place.Service{})
 	return h
 }
 
 // Of implements scatter.Homes.
-func (h *homes) Of(service string) (first, second ident.HostID) {
+func (h *homeResolver) Of(service string) (first, second ident.HostID) {
 	return h.cache.Homes(h.view(), *h.services.Load()).Lookup(service)
 }
 
 // Runner implements scatter.Homes.
-func (h *homes) Runner(host ident.HostID) (leg.Runner, bool) {
+func (h *homeResolver) Runner(host ident.HostID) (leg.Runner, bool) {
 	view := h.view()
 	if host == view.Self {
 		return h.local, true
@@ -45,7 +45,7 @@
 	return h.remote.To(peer.PeerAddress), true
 }
 
-// Forecast implements scatter.Homes. Of homes elsewhere nothing is known.
-func (h *homes) Forecast(service, class string) leg.Forecast {
+// Forecast implements scatter.Homes. It knows this host's homes only.
+func (h *homeResolver) Forecast(service, class string) leg.Forecast {
 	return h.local.Forecast(service, class)
 }
--- a/host.go
+++ b/host.go
@@ -1,6 +1,5 @@
-// Package goldcrestspan runs an entry host: one of the many small, equal hosts
-// that together are the query tier. The daemon is a few lines around it, and a
-// program can embed it:
+// Package goldcrestspan runs an entry host, one of the equal hosts that form the
+// query tier. The daemon wraps it, and other programs can embed it:
 //
 //	host, err := goldcrestspan.New(s, goldcrestspan.Options{})
 //	err = host.Run(ctx) // until ctx ends, then a planned stop
@@ -28,23 +27,23 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-// Options are what an embedding program may put in place of the defaults.
+// Options override the defaults of an embedded host.
 type Options struct {
-	Logger   *zap.Logger          // default: none
-	Registry *prometheus.Registry // default: one of its own
+	Logger   *zap.Logger          // default: no logging
+	Registry *prometheus.Registry // default: a new registry
 	Now      func() time.Time     // default: time.Now
-	// Store and HostList, set together, stand in for the platform's client.
+	// Store and HostList, set together, replace the platform client.
 	Store    metastore.Store
 	HostList metastore.HostList
-	// Backends stands in for the HTTP client of backend servers.
+	// Backends replaces the HTTP client of backend servers.
 	Backends backend.Runner
-	// CallerTLS and OperatorTLS are for the listeners; PeerTLS, for both
-	// directions between hosts. Nil speaks plain text.
+	// CallerTLS and OperatorTLS configure the listeners, PeerTLS both directions
+	// between hosts. Nil means the files in the settings, or plain text.
 	CallerTLS   *tls.Config
 	PeerTLS     *tls.Config
 	OperatorTLS *tls.Config
 
-	certificates []listenerFiles // of the settings; none in plain text
+	certificates []listenerCertificates // loaded from the settings; empty in plain text
 }
 
 func (o Options) withDefaults() Options {
@@ -62,56 +61,55 @@
 
 // Host is one entry host.
 type Host struct {
-	parts   parts
-	options Options
-	front   *front.Front
-	live    context.Context
-	end     context.CancelFunc
-
-	replaced chan struct{} // closed once another process has this host's name
-	inFlight atomic.Int64  // requests of callers
+	components components
+	options    Options
+	front      *front.Front
+	runCtx     context.Context
+	cancel     context.CancelFunc
+
+	replaced chan struct{} // closed once another process runs under this host's name
+	inFlight atomic.Int64  // callers' requests
 	stop     atomic.Pointer[drain.Stop]
 }
 
 // New builds a host and opens its listeners; Run starts it.
 func New(s settings.Settings, options Options) (*Host, error) {
 	options = options.withDefaults()
-	if err := options.openCertificates(s.TLS); err != nil {
+	if err := options.loadCertificates(s.TLS); err != nil {
 		return nil, err
 	}
-	live, end := context.WithCancel(context.Background())
-	built, err := build(live, s, options)
+	runCtx, cancel := context.WithCancel(context.Background())
+	built, err := build(runCtx, s, options)
 	if err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
-	h := &Host{parts: built, options: options, live: live, end: end, replaced: make(chan struct{})}
-	h.parts.Late.bind(h)
-	h.front = front.New(h, h.parts.Metrics, front.Options{
+	h := &Host{components: built, options: options, runCtx: runCtx, cancel: cancel, replaced: make(chan struct{})}
+	h.components.Hooks.bind(h)
+	h.front = front.New(h, h.components.Metrics, front.Options{
 		MaxBodyBytes:  s.Limits.MaxBodyBytes,
 		MaxConcurrent: s.Limits.MaxConcurrent,
 		Now:           options.Now,
 	})
 	if err := h.register(); err != nil {
-		h.parts.Listeners.close()
-		end()
+		h.components.Listeners.close()
+		cancel()
 		return nil, err
 	}
 	return h, nil
 }
 
-// register adds every slice's service to the peers' server, and the host's
-// view of itself to the metrics.
+// register registers the peer services of all components and the host's metrics.
 func (h *Host) register() error {
-	mux := h.parts.PeerServer.Mux()
-	inbound := exchange.NewServer(h.parts.Local, h.parts.Now)
+	mux := h.components.PeerServer.Mux()
+	exchangeServer := exchange.NewServer(h.components.HomeServer, h.components.Now)
 	for _, register := range []func() error{
-		func() error { return h.parts.Member.Register(mux) },
-		func() error { return h.parts.Rollout.Register(mux) },
-		func() error { return inbound.Register(mux) },
-		func() error { return h.parts.Desk.Register(mux) },
-		func() error { return h.parts.Catalog.Register(mux) },
-		h.registerView,
+		func() error { return h.components.Member.Register(mux) },
+		func() error { return h.components.Rollout.Register(mux) },
+		func() error { return exchangeServer.Register(mux) },
+		func() error { return h.components.Bookings.Register(mux) },
+		func() error { return h.components.Catalog.Register(mux) },
+		h.registerHostMetrics,
 	} {
 		if err := register(); err != nil {
 			return errors.Wrap(err, "register services and metrics")
@@ -120,65 +118,67 @@
 	return nil
 }
 
-// CallerAddress, PeerAddress and OperatorAddress are the listeners' addresses.
-func (h *Host) CallerAddress() string { return h.parts.Listeners.callers.Addr().String() }
+// CallerAddress returns the address of the caller listener.
+func (h *Host) CallerAddress() string { return h.components.Listeners.callers.Addr().String() }
 
-// PeerAddress is the address of the peers' listener.
-func (h *Host) PeerAddress() string { return h.parts.Listeners.peers.Addr().String() }
+// PeerAddress returns the address of the peer listener.
+func (h *Host) PeerAddress() string { return h.components.Listeners.peers.Addr().String() }
 
-// OperatorAddress is the address of the operators' listener.
-func (h *Host) OperatorAddress() string { return h.parts.Listeners.operators.Addr().String() }
+// OperatorAddress returns the address of the operator listener.
+func (h *Host) OperatorAddress() string { return h.components.Listeners.operators.Addr().String() }
 
-// Run serves until ctx ends, and then makes a planned stop. It returns when
-// everything has ended, or with the first part that failed.
+// Run serves until ctx ends and then makes a planned stop. It returns once all
+// components have stopped, with the first error if one failed.
 func (h *Host) Run(ctx context.Context) error {
-	defer h.end()
-	group, live := errgroup.WithContext(h.live)
-	callers := h.callersServer()
-	operators := &http.Server{Handler: h.operatorsHandler(), ReadHeaderTimeout: h.parts.Settings.Limits.HeaderTimeout}
+	defer h.cancel()
+	group, runCtx := errgroup.WithContext(h.runCtx)
+	callers := h.callerServer()
+	operators := &http.Server{Handler: h.operatorHandler(), ReadHeaderTimeout: h.components.Settings.Limits.HeaderTimeout}
 	run := func(name string, f func(context.Context) error) {
-		group.Go(func() error { return errors.Wrap(f(live), name) })
+		group.Go(func() error { return errors.Wrap(f(runCtx), name) })
 	}
 	run("member", h.join)
-	run("rollout", h.parts.Rollout.Run)
-	run("servers", h.parts.Servers.run)
-	run("catalog", h.parts.Catalog.Run)
-	run("peers", func(ctx context.Context) error { return h.parts.PeerServer.Serve(ctx, h.peersListener()) })
-	run("callers", func(context.Context) error { return serve(callers, h.parts.Listeners.callers, h.options.CallerTLS) })
+	run("rollout", h.components.Rollout.Run)
+	run("servers", h.components.Servers.run)
+	run("catalog", h.components.Catalog.Run)
+	run("peers", func(ctx context.Context) error { return h.components.PeerServer.Serve(ctx, h.peerListener()) })
+	run("callers", func(context.Context) error {
+		return serve(callers, h.components.Listeners.callers, h.options.CallerTLS)
+	})
 	run("operators", func(context.Context) error {
-		return serve(operators, h.parts.Listeners.operators, h.options.OperatorTLS)
+		return serve(operators, h.components.Listeners.operators, h.options.OperatorTLS)
 	})
-	run("stop", func(live context.Context) error {
+	run("stop", func(runCtx context.Context) error {
 		select {
 		case <-ctx.Done():
-			h.plannedStop(live)
+			h.plannedStop(runCtx)
 		case <-h.replaced:
-			h.plannedStop(live)
-		case <-live.Done():
+			h.plannedStop(runCtx)
+		case <-runCtx.Done():
 		}
-		closeGently(live, callers)
+		shutdownGracefully(runCtx, callers)
 		_ = operators.Close()
-		h.end()
+		h.cancel()
 		return nil
 	})
 	return group.Wait()
 }
 
-func (h *Host) callersServer() *http.Server {
-	limits := h.parts.Settings.Limits
+func (h *Host) callerServer() *http.Server {
+	limits := h.components.Settings.Limits
 	return &http.Server{
-		Handler:           h.count(h.front.Handler()),
+		Handler:           h.trackInFlight(h.front.Handler()),
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		ReadTimeout:       limits.BodyTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
-// maxHeaderBytes bounds the head of a caller's request.
+// maxHeaderBytes bounds the header of a caller's request.
 const maxHeaderBytes = 16 << 10
 
-// count counts the requests in flight, for the planned stop.
-func (h *Host) count(next http.Handler) http.Handler {
+// trackInFlight counts requests in flight, for the planned stop and the load.
+func (h *Host) trackInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.inFlight.Add(1)
 		defer h.inFlight.Add(-1)
@@ -187,50 +187,50 @@
 }
 
 // Config implements front.Service.
-func (h *Host) Config() *bundle.Config { return h.parts.Rollout.Config() }
+func (h *Host) Config() *bundle.Config { return h.components.Rollout.Config() }
 
-// Ready implements front.Service: it refuses work, as "not run", while the
-// host has no configuration, is cut off or is stopping.
+// Ready implements front.Service. It returns a refusal while the host has no
+// configuration, is cut off from platform and peers, or refuses work in a stop.
 func (h *Host) Ready() *result.Error {
 	if h.Config() == nil {
 		return &result.Error{Code: result.NotReady, Hosts: h.otherHosts()}
 	}
-	if stop := h.stop.Load(); stop != nil && stop.Phase(h.parts.Now(), 1) >= drain.PhaseRefusing {
+	if stop := h.stop.Load(); stop != nil && stop.Phase(h.components.Now(), 1) >= drain.PhaseRefusing {
 		return &result.Error{Code: result.Draining, Hosts: h.otherHosts()}
 	}
-	if h.parts.Member.CutOff(h.parts.Now(), h.parts.Rollout.LastStoreContact(), h.parts.Settings.Limits.CutOffAfter) {
+	if h.components.Member.CutOff(h.components.Now(), h.components.Rollout.LastStoreContact(), h.components.Settings.Limits.CutOffAfter) {
 		return &result.Error{Code: result.CutOff, Hosts: h.otherHosts()}
 	}
 	return nil
 }
 
-// otherHosts are callers' listeners of other serving hosts.
+// otherHosts returns caller listeners of other serving hosts.
 func (h *Host) otherHosts() []string {
-	view := h.parts.Member.View()
+	view := h.components.Member.View()
 	var addresses []string
 	for _, other := range view.Hosts {
-		if other.ID != view.Self && other.Serving() && len(addresses) < maxNamedHosts {
+		if other.ID != view.Self && other.Serving() && len(addresses) < maxAlternativeHosts {
 			addresses = append(addresses, other.CallerAddress)
 		}
 	}
 	return addresses
 }
 
-// maxNamedHosts bounds the hosts named in a refusal.
-const maxNamedHosts = 5
+// maxAlternativeHosts bounds the hosts listed in a refusal.
+const maxAlternativeHosts = 5
 
-// Name is the host's name from its settings.
-func (h *Host) Name() string { return h.parts.Settings.Host.Name }
+// Name returns the host's name from its settings.
+func (h *Host) Name() string { return h.components.Settings.Host.Name }
 
-// Serving reports whether the host is ready and has heard from the platform
-// which backend servers and snapshots there are.
+// Serving reports whether the host is ready and has received the lists of backend
+// servers and snapshots.
 func (h *Host) Serving() bool {
-	return h.Ready() == nil && !h.parts.Catalog.LastContact().IsZero()
+	return h.Ready() == nil && !h.components.Catalog.LastContact().IsZero()
 }
 
-// Abort ends the host at once, as a crash would: nothing is said to anybody.
+// Abort ends the host at once like a crash, without notifying peers or callers.
 func (h *Host) Abort() {
-	h.parts.Listeners.close()
-	_ = h.parts.Pool.Close()
-	h.end()
+	h.components.Listeners.close()
+	_ = h.components.Pool.Close()
+	h.cancel()
 }
--- a/load.go
+++ b/load.go
@@ -7,44 +7,43 @@
 	"time"
 )
 
-// loadEvery is how often the host measures its own load for the advice to
-// callers: often enough to follow a burst, and a processor time over it is
-// steady.
-const loadEvery = 500 * time.Millisecond
+// loadInterval is short enough to follow a burst and long enough for a steady
+// CPU share.
+const loadInterval = 500 * time.Millisecond
 
-// permille is the load of a host that can take no more.
+// permille is the load of a saturated host.
 const permille = 1000
 
-// measureLoad tells membership the host's load: the greater of the processor
-// time used and the requests in flight, each against what there is.
-func (h *Host) measureLoad(ctx context.Context) {
-	ticker := time.NewTicker(loadEvery)
+// reportLoad publishes the host's load through the membership: the greater of CPU
+// utilization and requests in flight over the concurrency limit.
+func (h *Host) reportLoad(ctx context.Context) {
+	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
-	used, at := processorTime(), time.Now()
+	used, measuredAt := cpuTime(), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		nextUsed, nextAt := processorTime(), time.Now()
-		processor := share(nextUsed-used, nextAt.Sub(at)*time.Duration(runtime.GOMAXPROCS(0)))
-		requests := permille * int(h.inFlight.Load()) / h.parts.Settings.Limits.MaxConcurrent
-		h.parts.Member.SetLoad(uint32(min(max(processor, requests), permille)))
-		used, at = nextUsed, nextAt
-		h.parts.Advisor.Observe(h.parts.Now(), h.parts.Member.View())
+		nextUsed, nextAt := cpuTime(), time.Now()
+		cpu := permilleOf(nextUsed-used, nextAt.Sub(measuredAt)*time.Duration(runtime.GOMAXPROCS(0)))
+		requests := permille * int(h.inFlight.Load()) / h.components.Settings.Limits.MaxConcurrent
+		h.components.Member.SetLoad(uint32(min(max(cpu, requests), permille)))
+		used, measuredAt = nextUsed, nextAt
+		h.components.Advisor.Observe(h.components.Now(), h.components.Member.View())
 	}
 }
 
-func share(part, whole time.Duration) int {
+func permilleOf(part, whole time.Duration) int {
 	if whole <= 0 {
 		return 0
 	}
 	return int(permille * part / whole)
 }
 
-// processorTime is the user and system time of this process so far.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
--- a/operators.go
+++ b/status.go
@@ -13,7 +13,7 @@
 	"github.com/goldcrestspan/goldcrestspan/quarantine"
 )
 
-// Status is one host's view, as the operators' listener gives it at /v1/status.
+// Status is one host's view, as the operator listener serves it at /v1/status.
 type Status struct {
 	Host        string       `json:"host"`
 	Region      string       `json:"region"`
@@ -27,8 +27,7 @@
 	Alarm       string       `json:"alarm,omitempty"`
 	InFlight    int          `json:"in_flight"`
 	Hosts       []HostStatus `json:"hosts"`
-	// Quarantine lists the requests that are refused because they crashed
-	// backend servers.
+	// Quarantine lists the requests refused for crashing backend servers.
 	Quarantine []quarantine.Entry `json:"quarantine,omitempty"`
 }
 
@@ -42,20 +41,20 @@
 	Peers        string `json:"peers"`
 }
 
-// Status gives the host's view at this moment.
+// Status returns the host's current view.
 func (h *Host) Status() Status {
 	s := Status{
-		Host:        h.parts.Settings.Host.Name,
-		Region:      h.parts.Settings.Host.Region,
-		Zone:        h.parts.Settings.Host.Zone,
-		Incarnation: uint64(h.parts.Incarnation),
+		Host:        h.components.Settings.Host.Name,
+		Region:      h.components.Settings.Host.Region,
+		Zone:        h.components.Settings.Host.Zone,
+		Incarnation: uint64(h.components.Incarnation),
 		Ready:       true,
-		Phase:       h.phase().String(),
-		Alarm:       h.parts.Rollout.Alarm(),
-		InFlight:    h.busy(),
+		Phase:       h.stopPhase().String(),
+		Alarm:       h.components.Rollout.Alarm(),
+		InFlight:    h.workInFlight(),
 	}
-	s.Quarantine = h.parts.Crashes.book.Entries(h.parts.Now())
-	if ref := h.parts.Rollout.ActiveRef(); !ref.IsZero() {
+	s.Quarantine = h.components.CrashDetector.registry.Entries(h.components.Now())
+	if ref := h.components.Rollout.ActiveRef(); !ref.IsZero() {
 		s.Generation = ref.Generation
 		s.Manifest = ref.Hash.Short()
 	}
@@ -63,13 +62,13 @@
 		s.Ready = false
 		s.Refusal = refused.Error()
 	}
-	for _, host := range h.parts.Member.View().Hosts {
-		s.Hosts = append(s.Hosts, statusOf(host))
+	for _, host := range h.components.Member.View().Hosts {
+		s.Hosts = append(s.Hosts, hostStatusOf(host))
 	}
 	return s
 }
 
-func statusOf(host member.Host) HostStatus {
+func hostStatusOf(host member.Host) HostStatus {
 	return HostStatus{
 		Host:         string(host.ID),
 		Zone:         host.Zone,
@@ -80,37 +79,37 @@
 	}
 }
 
-func (h *Host) phase() drain.Phase {
+func (h *Host) stopPhase() drain.Phase {
 	if stop := h.stop.Load(); stop != nil {
-		return stop.Phase(h.parts.Now(), h.busy())
+		return stop.Phase(h.components.Now(), h.workInFlight())
 	}
 	return drain.PhaseServing
 }
 
-// registerView shows the host's view of itself as metrics.
-func (h *Host) registerView() error {
-	return observe.RegisterView(h.parts.Registry, observe.View{
-		Admission:  h.parts.Admission.Stats,
-		Quarantine: func() int { return len(h.parts.Crashes.book.Entries(h.parts.Now())) },
-		Phase:      h.phase,
+// registerHostMetrics registers the metrics that read the host's state.
+func (h *Host) registerHostMetrics() error {
+	return observe.RegisterView(h.components.Registry, observe.View{
+		Admission:  h.components.Admission.Stats,
+		Quarantine: func() int { return len(h.components.CrashDetector.registry.Entries(h.components.Now())) },
+		Phase:      h.stopPhase,
 		Ready:      func() bool { return h.Ready() == nil && h.stop.Load() == nil },
 
-		Certificates: h.options.certificateViews,
+		Certificates: h.options.certificateMetrics,
 	})
 }
 
-// operatorsHandler serves health, metrics and status.
-func (h *Host) operatorsHandler() http.Handler {
+// operatorHandler serves health, metrics and status.
+func (h *Host) operatorHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	r.Get("/readyz", h.serveReady)
 	r.Get("/v1/status", h.serveStatus)
-	r.Handle("/metrics", promhttp.HandlerFor(h.parts.Registry, promhttp.HandlerOpts{}))
+	r.Handle("/metrics", promhttp.HandlerFor(h.components.Registry, promhttp.HandlerOpts{}))
 	return r
 }
 
-// serveReady tells whether the host takes new work; a stopping host says no
-// from the first moment, so that nothing sends callers to it.
+// serveReady reports whether the host accepts new work. A stopping host is not
+// ready from the start of the stop, so that load balancers avoid it.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	refused := h.Ready()
 	switch {
@@ -127,5 +126,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(h.Status()) // an operator that has gone is not told
+	_ = encoder.Encode(h.Status()) // fails only if the operator disconnected
 }
--- a/stop.go
+++ b/stop.go
@@ -13,71 +13,72 @@
 	"github.com/goldcrestspan/goldcrestspan/drain"
 )
 
-// plannedStop leaves the advice, serves on while callers may keep old advice,
-// refuses new work, and returns when nothing is in flight or the limit passed.
-func (h *Host) plannedStop(live context.Context) {
-	keep := time.Duration(0)
+// plannedStop leaves the membership, serves until cached advice expires, then
+// refuses new work, and returns when nothing is in flight or the time limit is
+// reached.
+func (h *Host) plannedStop(ctx context.Context) {
+	adviceTTL := time.Duration(0)
 	if config := h.Config(); config != nil {
-		keep = time.Duration(config.Policy.AdviceFor)
+		adviceTTL = time.Duration(config.Policy.AdviceFor)
 	}
-	stop := drain.Begin(h.parts.Now(), keep, h.parts.Settings.Limits.StopWait)
+	stop := drain.Begin(h.components.Now(), adviceTTL, h.components.Settings.Limits.StopWait)
 	h.stop.Store(stop)
-	h.leave(live)
-	if stop.Wait(live, h.parts.Now, h.busy, h.parts.Log) {
-		h.stopBookings(live, stop)
+	h.leaveMembership(ctx)
+	if stop.Wait(ctx, h.components.Now, h.workInFlight, h.components.Log) {
+		h.drainBookings(ctx, stop)
 	}
 }
 
-// handOverWait bounds handing the records of bookings to their successors.
-const handOverWait = 2 * time.Second
+// handOverTimeout bounds the transfer of booking records to successor hosts.
+const handOverTimeout = 2 * time.Second
 
-// stopBookings waits for bookings that run on without their caller, at most
-// until the stop's limit, and hands over what became of all of them: a caller
-// that repeats one at another host would hear "unknown" otherwise.
-func (h *Host) stopBookings(live context.Context, stop *drain.Stop) {
-	desk := h.parts.Desk
-	limit, cancel := context.WithTimeout(live, max(0, stop.Remaining(h.parts.Now())))
+// drainBookings waits for running bookings until the stop's time limit and hands
+// the records of all bookings over to successors, so that a caller that repeats
+// one at another host gets its result.
+func (h *Host) drainBookings(ctx context.Context, stop *drain.Stop) {
+	executor := h.components.Bookings
+	stopCtx, cancel := context.WithTimeout(ctx, max(0, stop.Remaining(h.components.Now())))
 	defer cancel()
-	if !desk.Stop(limit) {
-		h.parts.Log.Warn("bookings still run at the stop's limit; they are handed over as unknown", zap.Int("running", desk.Stats().Running))
+	if !executor.Stop(stopCtx) {
+		h.components.Log.Warn("bookings still running at the time limit of the stop; handing them over as unknown", zap.Int("running", executor.Stats().Running))
 	}
-	ctx, cancel := context.WithTimeout(live, handOverWait)
+	handOverCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	taken := desk.HandOver(ctx)
-	h.parts.Log.Info("bookings handed over", zap.Int("records", desk.Stats().Records), zap.Int("successors", taken))
+	successors := executor.HandOver(handOverCtx)
+	h.components.Log.Info("bookings handed over", zap.Int("records", executor.Stats().Records), zap.Int("successors", successors))
 }
 
-// beReplaced begins a planned stop because another process runs under this
-// host's name. What is in flight here is finished; new work goes to that one.
-func (h *Host) beReplaced() { close(h.replaced) }
+// stopReplaced begins a planned stop because another process runs under this
+// host's name.
+func (h *Host) stopReplaced() { close(h.replaced) }
 
-// leaveWait bounds telling the peers, which a host that has not joined can't.
-const leaveWait = time.Second
+// leaveTimeout bounds the announcement to the peers.
+const leaveTimeout = time.Second
 
-func (h *Host) leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leaveWait)
+func (h *Host) leaveMembership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if err := h.parts.Member.Leave(ctx); err != nil {
-		h.parts.Log.Warn("peers were not told of the stop", zap.Error(err))
+	if err := h.components.Member.Leave(ctx); err != nil {
+		h.components.Log.Warn("announcing the stop to peers failed", zap.Error(err))
 	}
 }
 
-// closeWait bounds the last answers on callers' connections.
-const closeWait = time.Second
+// shutdownTimeout bounds the last responses on caller connections.
+const shutdownTimeout = time.Second
 
-// closeGently closes the callers' listener and its idle connections, and lets a
-// request that came in the last moment finish: it is answered by a refusal, and
-// a caller whose connection just breaks would not know that it did not run.
-func closeGently(live context.Context, server *http.Server) {
-	ctx, cancel := context.WithTimeout(live, closeWait)
+// shutdownGracefully closes the caller listener and idle connections and lets late
+// requests finish, so that their callers get a refusal rather than a broken
+// connection, which leaves the outcome unknown.
+func shutdownGracefully(ctx context.Context, server *http.Server) {
+	shutdownCtx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	if server.Shutdown(ctx) != nil {
+	if server.Shutdown(shutdownCtx) != nil {
 		_ = server.Close()
 	}
 }
 
-// busy counts the callers' requests and the peers' legs in flight.
-func (h *Host) busy() int { return int(h.inFlight.Load()) + h.parts.Local.OpenLegs() }
+// workInFlight returns the number of callers' requests and peers' legs in flight.
+func (h *Host) workInFlight() int { return int(h.inFlight.Load()) + h.components.HomeServer.OpenLegs() }
 
 func serve(server *http.Server, listener net.Listener, config *tls.Config) error {
 	var err error
@@ -94,9 +95,9 @@
 	return err
 }
 
-func (h *Host) peersListener() net.Listener {
+func (h *Host) peerListener() net.Listener {
 	if h.options.PeerTLS == nil {
-		return h.parts.Listeners.peers
+		return h.components.Listeners.peers
 	}
-	return tls.NewListener(h.parts.Listeners.peers, h.options.PeerTLS)
+	return tls.NewListener(h.components.Listeners.peers, h.options.PeerTLS)
 }
