--- a/bundle/change.go
+++ b/bundle/change.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Change is a manifest with its documents, as authors and reviewers pass it
-// on until it has its sign-offs.
+// Change is a manifest with its documents, as passed between author and reviewers
+// until it is signed off.
 type Change struct {
 	Signed   Signed
 	Contents Contents
@@ -19,23 +19,21 @@
 	Documents [][]byte `json:"documents"`
 }
 
-// maxChangeBytes bounds a file of a change: the documents in base64 and the
-// manifest.
+// maxChangeBytes bounds a change file: the documents in base64 and the manifest.
 const maxChangeBytes = 2*MaxBundleBytes + MaxSignedBytes
 
-// Proposal is what an author says about a change.
+// Proposal is the author's description of a change.
 type Proposal struct {
 	Author  string
 	Reason  string
 	Created time.Time
-	// Above makes the generation higher than this and the parent's. It is for
-	// a store that was set back by its own operators, while hosts have a higher
-	// generation in force.
+	// Above raises the new generation over this one. It is needed after the store
+	// was restored to an older state than the hosts'.
 	Above uint64
 }
 
-// Propose makes an unsigned change of the parent. For the first generation
-// the parent is zero.
+// Propose returns an unsigned change of the parent, which is zero for the first
+// generation.
 func Propose(parent Ref, previous Parts, docs Documents, p Proposal) (Change, error) {
 	if problems := Validate(docs); len(problems) > 0 {
 		return Change{}, problems
@@ -54,18 +52,18 @@
 	}, contents)
 }
 
-// NewChange makes an unsigned change of a manifest.
+// NewChange returns an unsigned change from a manifest.
 func NewChange(m Manifest, contents Contents) (Change, error) {
 	signed, err := NewSigned(m)
 	return Change{Signed: signed, Contents: contents}, err
 }
 
-// Sign adds a sign-off.
+// Sign returns the change with the key owner's sign-off added.
 func (c Change) Sign(key SigningKey) Change {
 	return Change{Signed: c.Signed.Sign(key.Name, key.Private), Contents: c.Contents}
 }
 
-// Open checks the documents of the change and returns them.
+// Open validates the documents of the change and returns them.
 func (c Change) Open() (Manifest, Documents, error) {
 	m, err := c.Signed.Manifest()
 	if err != nil {
@@ -75,7 +73,7 @@
 	return m, docs, err
 }
 
-// Encode writes the change for a file.
+// Encode encodes the change for a file.
 func (c Change) Encode() ([]byte, error) {
 	m, err := c.Signed.Manifest()
 	if err != nil {
@@ -89,7 +87,7 @@
 	return raw, errors.Wrap(err, "encode change")
 }
 
-// DecodeChange reads what Encode writes. It checks no signature.
+// DecodeChange decodes a change file. It doesn't verify signatures.
 func DecodeChange(raw []byte) (Change, error) {
 	if len(raw) > maxChangeBytes {
 		return Change{}, errors.Errorf("change of %d bytes is over the limit of %d", len(raw), maxChangeBytes)
--- a/bundle/config.go
+++ b/bundle/config.go
@@ -10,22 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// Defaults of settings that documents may leave out.
+// Defaults of optional fields.
 const (
-	defaultMaxDeadline       = 30 * time.Second
-	defaultMaxQueue          = 2048
-	defaultHedgeBudget       = 0.02
-	defaultHedgeQuantile     = 0.95
-	defaultRetryBudget       = 0.1
-	defaultQuarantineServers = 2
-	defaultQuarantineFor     = 10 * time.Minute
-	defaultAdviceFor         = 10 * time.Second
+	defaultMaxDeadline        = 30 * time.Second
+	defaultMaxQueue           = 2048
+	defaultHedgeBudget        = 0.02
+	defaultHedgeQuantile      = 0.95
+	defaultRetryBudget        = 0.1
+	defaultQuarantineServers  = 2
+	defaultQuarantineDuration = 10 * time.Minute
+	defaultAdviceTTL          = 10 * time.Second
 )
 
-// Config is an accepted bundle in the form that hosts serve from. It is
-// immutable; each generation makes a new one.
+// Config is an accepted bundle, indexed for serving. It is immutable; each
+// generation has its own.
 type Config struct {
-	// Generation numbers accepted bundles; a host only ever goes up.
+	// Generation is the number of the accepted bundle; on a host it only rises.
 	Generation uint64
 	Policy     Policy
 	Classes    []Class
@@ -39,8 +39,8 @@
 	overrides    map[string]QuarantineOverride
 }
 
-// Compile indexes valid documents and fills in the defaults. The documents are
-// copied, not kept.
+// Compile indexes valid documents and fills in the defaults. It copies the
+// documents.
 func Compile(generation uint64, docs Documents) (*Config, error) {
 	c := &Config{
 		Generation:   generation,
@@ -113,16 +113,16 @@
 		p.QuarantineServers = defaultQuarantineServers
 	}
 	if p.QuarantineFor == 0 {
-		p.QuarantineFor = Duration(defaultQuarantineFor)
+		p.QuarantineFor = Duration(defaultQuarantineDuration)
 	}
 	if p.AdviceFor == 0 {
-		p.AdviceFor = Duration(defaultAdviceFor)
+		p.AdviceFor = Duration(defaultAdviceTTL)
 	}
 	return p
 }
 
-// Route returns the route if the caller may use it. A route that exists but
-// is not the caller's reads the same as one that does not exist.
+// Route returns the route if the caller may use it. Other callers' routes are
+// indistinguishable from missing ones.
 func (c *Config) Route(name string, caller *Caller) (*Route, bool) {
 	route, ok := c.routes[name]
 	if !ok || !slices.Contains(route.Callers, caller.Name) {
@@ -131,7 +131,7 @@
 	return route, true
 }
 
-// CallerByToken finds the caller of a bearer token. Only hashes are compared.
+// CallerByToken returns the caller with the bearer token, comparing hashes.
 func (c *Config) CallerByToken(token string) (*Caller, bool) {
 	sum := sha256.Sum256([]byte(token))
 	caller, ok := c.byToken[sum]
@@ -142,19 +142,19 @@
 	return caller, err == nil && subtle.ConstantTimeCompare(want, sum[:]) == 1
 }
 
-// CallerByCertificate finds the caller of a verified client certificate.
+// CallerByCertificate returns the caller with the common name of a verified client
+// certificate.
 func (c *Config) CallerByCertificate(commonName string) (*Caller, bool) {
 	caller, ok := c.byCommonName[commonName]
 	return caller, ok
 }
 
-// Caller returns the caller with the name.
 func (c *Config) Caller(name string) (*Caller, bool) {
 	caller, ok := c.callers[name]
 	return caller, ok
 }
 
-// Class returns the class and its position in Classes.
+// Class returns the class and its index in Classes.
 func (c *Config) Class(name string) (Class, int, bool) {
 	i, ok := c.classes[name]
 	if !ok {
@@ -163,7 +163,6 @@
 	return c.Classes[i], i, true
 }
 
-// Service returns the service with the name.
 func (c *Config) Service(name string) (Service, bool) {
 	s, ok := c.services[name]
 	if !ok {
@@ -172,7 +171,7 @@
 	return *s, true
 }
 
-// Override returns the operator's word on a request fingerprint, if any.
+// Override returns the operators' override for a request fingerprint, if any.
 func (c *Config) Override(fingerprint string) (QuarantineOverride, bool) {
 	o, ok := c.overrides[fingerprint]
 	return o, ok
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Difference is one item that two configurations have differently.
+// Difference is one item that differs between two configurations.
 type Difference struct {
 	// Item is the kind and name, as "route slots-rijeka" or "policy".
 	Item string `json:"item"`
-	// Before and After are the item in JSON; empty: it is not there.
+	// Before and After are the item in JSON, or empty if it is absent.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String writes the difference on one line.
+// String formats the difference on one line.
 func (d Difference) String() string {
 	switch {
 	case d.Before == "":
@@ -28,7 +28,7 @@
 	}
 }
 
-// Diff lists what changes from before to after, in the order of the items' names.
+// Diff returns the differences between before and after, sorted by item.
 func Diff(before, after Documents) []Difference {
 	old, current := itemsOf(before), itemsOf(after)
 	var differences []Difference
--- a/bundle/example.go
+++ b/bundle/example.go
@@ -1,6 +1,6 @@
 package bundle
 
-// Example is a bundle that shows every field; bundle init writes it.
+// Example is a bundle with every field, as written by bundle init.
 const Example = `# Configuration bundle. Every field that there is stands here once; fields
 # marked "default" may be left out. Several *.yaml files in one directory are
 # read as one bundle.
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -16,19 +16,19 @@
 	keyNameHeader = "Signer"
 )
 
-// SigningKey is a person's private key with their name.
+// SigningKey is a signer's name and private key.
 type SigningKey struct {
 	Name    string
 	Private ed25519.PrivateKey
 }
 
-// GenerateKey draws a new key for the person.
+// GenerateKey generates a key for the named signer.
 func GenerateKey(name string) (SigningKey, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	return SigningKey{Name: name, Private: private}, errors.Wrap(err, "generate key")
 }
 
-// Encode writes the private key as PEM, for a file that only its owner reads.
+// Encode encodes the private key in PEM, for a file that only its owner can read.
 func (k SigningKey) Encode() []byte {
 	return pem.EncodeToMemory(&pem.Block{
 		Type:    keyPEMType,
@@ -37,13 +37,13 @@
 	})
 }
 
-// Signer is the public half, as a host's settings name it.
+// Signer returns the name and public key, as in a host's settings.
 func (k SigningKey) Signer() settings.Signer {
 	public := k.Private.Public().(ed25519.PublicKey)
 	return settings.Signer{Name: k.Name, PublicKey: base64.StdEncoding.EncodeToString(public)}
 }
 
-// DecodeKey reads what Encode writes.
+// DecodeKey decodes a key encoded by Encode.
 func DecodeKey(raw []byte) (SigningKey, error) {
 	block, _ := pem.Decode(raw)
 	if block == nil || block.Type != keyPEMType {
--- a/bundle/manifest.go
+++ b/bundle/manifest.go
@@ -10,50 +10,48 @@
 )
 
 const (
-	// manifestFormat is raised when the meaning of a manifest changes.
+	// manifestFormat is the version of the manifest format.
 	manifestFormat = 1
-	// MaxManifestBytes bounds an encoded manifest. A host reads it before it
-	// has checked a signature, so the bound also limits what a stranger can
-	// make it parse.
+	// MaxManifestBytes bounds an encoded manifest, which hosts parse before they
+	// verify signatures.
 	MaxManifestBytes = 256 << 10
 	// MaxReasonBytes bounds the reason of a change.
 	MaxReasonBytes = 2000
 	maxNameBytes   = 63
 )
 
-// Manifest says what a generation of the configuration consists of. What is
-// signed and hashed is its payload: the compact JSON that Encode writes, with
-// the fields in the order of this struct.
+// Manifest describes one generation of the configuration. Its payload, which is
+// hashed and signed, is the compact JSON returned by Encode, with the fields in
+// the order of this struct.
 type Manifest struct {
 	Format int `json:"format"`
-	// Generation is above the parent's; hosts only ever go up.
+	// Generation is above the parent's; hosts never go back.
 	Generation uint64 `json:"generation"`
-	// Parent is the configuration that the author changed. The head moves to
-	// this manifest only from there.
+	// Parent is the configuration that the author changed. The head moves only
+	// from the parent to this manifest.
 	Parent Ref `json:"parent"`
-	// Author wrote the change; a signature of another signer is needed too.
+	// Author is the signer who wrote the change; another signer must sign too.
 	Author string `json:"author"`
-	// Reason tells later readers of the history why.
+	// Reason explains the change in the history.
 	Reason string `json:"reason"`
-	// Created is the author's clock, for people; no decision reads it.
+	// Created is the author's time, for information only.
 	Created time.Time `json:"created"`
-	// Restores names the earlier configuration that a rollback brings back.
-	Restores *Ref `json:"restores,omitempty"`
-	// Parts are the content hashes of the documents.
-	Parts Parts `json:"parts"`
+	// Restores is the earlier configuration that a rollback restores.
+	Restores *Ref  `json:"restores,omitempty"`
+	Parts    Parts `json:"parts"`
 }
 
-// Parts names the documents of a bundle. Items are spread over the parts of
-// their kind by a hash of their name.
+// Parts lists the content hashes of a bundle's documents. Items are distributed
+// over the parts of their kind by a hash of their name.
 type Parts struct {
-	// Base holds what is small and read together: classes, policy, quarantine.
+	// Base holds the classes, policy and quarantine overrides.
 	Base     Hash   `json:"base"`
 	Routes   []Hash `json:"routes"`
 	Callers  []Hash `json:"callers"`
 	Services []Hash `json:"services"`
 }
 
-// All returns the hash of every document once, in a fixed order.
+// All returns the distinct hashes of the documents in a fixed order.
 func (p Parts) All() []Hash {
 	seen := make(map[Hash]bool, 1+len(p.Routes)+len(p.Callers)+len(p.Services))
 	var all []Hash
@@ -68,16 +66,14 @@
 	return all
 }
 
-// Encode writes the manifest's payload: canonical, so that one manifest has
-// one hash.
+// Encode returns the manifest's payload in the canonical encoding.
 func (m Manifest) Encode() ([]byte, error) {
 	payload, err := json.Marshal(m)
 	return payload, errors.Wrap(err, "encode manifest")
 }
 
-// DecodeManifest reads a payload. Anything but the canonical encoding is
-// refused, so that two payloads with the same meaning cannot have two hashes
-// and show up as two configurations with one generation.
+// DecodeManifest decodes a payload. It refuses any encoding but the canonical one,
+// so that equal manifests have equal hashes.
 func DecodeManifest(payload []byte) (Manifest, error) {
 	if len(payload) > MaxManifestBytes {
 		return Manifest{}, errors.Errorf("manifest of %d bytes is over the limit of %d", len(payload), MaxManifestBytes)
@@ -86,11 +82,11 @@
 	if err := decodeStrict(payload, &m); err != nil {
 		return Manifest{}, errors.Wrap(err, "manifest")
 	}
-	again, err := m.Encode()
+	encoded, err := m.Encode()
 	if err != nil {
 		return Manifest{}, err
 	}
-	if !bytes.Equal(again, payload) {
+	if !bytes.Equal(encoded, payload) {
 		return Manifest{}, errors.New("manifest is not in its canonical encoding")
 	}
 	return m, m.check()
@@ -99,7 +95,7 @@
 func (m Manifest) check() error {
 	switch {
 	case m.Format != manifestFormat:
-		return errors.Errorf("manifest has format %d, this program reads %d", m.Format, manifestFormat)
+		return errors.Errorf("manifest has format %d, this version reads %d", m.Format, manifestFormat)
 	case m.Generation == 0:
 		return errors.New("manifest has generation 0; the first is 1")
 	case m.Generation <= m.Parent.Generation:
@@ -126,15 +122,15 @@
 	return nil
 }
 
-// decodeStrict reads exactly one JSON value without unknown fields.
-func decodeStrict(raw []byte, into any) error {
+// decodeStrict decodes exactly one JSON value and refuses unknown fields.
+func decodeStrict(raw []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return errors.New("bytes after the end of the value")
+		return errors.New("unexpected data after the JSON value")
 	}
 	return nil
 }
--- a/bundle/open.go
+++ b/bundle/open.go
@@ -1,8 +1,7 @@
 package bundle
 
-// Open puts the documents of a manifest together, checks them and compiles
-// the configuration. Both the submit and each host go through it: a bad
-// bundle is refused before acceptance, and again by each host.
+// Open joins the documents of a manifest, validates them and compiles the
+// configuration. It runs on submission and again on each host.
 func Open(m Manifest, contents Contents) (*Config, Documents, error) {
 	docs, err := Join(m.Parts, contents)
 	if err != nil {
--- a/bundle/problem.go
+++ b/bundle/problem.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong in a bundle: where, what and the mend.
+// Problem is an error in a bundle, with its location and a suggested fix.
 type Problem struct {
-	// Path names the place in the documents, as "routes[2].callers[0]".
+	// Path is the path in the documents, such as "routes[2].callers[0]".
 	Path    string `json:"path"`
 	Message string `json:"what"`
 	Fix     string `json:"mend"`
-	// File, Line and Column are set for documents that were read from files;
-	// Line and Column count from 1.
+	// File, Line and Column are set for documents read from files; Line and
+	// Column count from 1.
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line,omitempty"`
 	Column int    `json:"column,omitempty"`
 }
 
-// String writes the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	where := p.Path
 	if p.File != "" {
@@ -27,10 +27,10 @@
 	return strings.TrimPrefix(fmt.Sprintf("%s: %s; %s", where, p.Message, p.Fix), ": ")
 }
 
-// Problems is every problem of a bundle. As an error it has a line for each.
+// Problems is a list of all problems of a bundle.
 type Problems []Problem
 
-// Error writes one problem on each line.
+// Error formats one problem per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -39,7 +39,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is nil when there is no problem.
+// Err returns the problems as an error, or nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -47,6 +47,6 @@
 	return ps
 }
 
-func (ps *Problems) add(path, mend, what string, args ...any) {
-	*ps = append(*ps, Problem{Path: path, Message: fmt.Sprintf(what, args...), Fix: mend})
+func (ps *Problems) add(path, fix, message string, args ...any) {
+	*ps = append(*ps, Problem{Path: path, Message: fmt.Sprintf(message, args...), Fix: fix})
 }
--- a/bundle/read.go
+++ b/bundle/read.go
@@ -15,27 +15,26 @@
 	"github.com/pkg/errors"
 )
 
-// maxFileBytes bounds one YAML file.
 const maxFileBytes = MaxBundleBytes
 
-// Source is documents with the places in the files that they came from.
+// Source is a set of documents with their positions in the files.
 type Source struct {
 	Documents Documents
 	files     []sourceFile
 }
 
-// sourceFile is one YAML file and the places of its lists' items in Documents.
+// sourceFile is one YAML file and the offsets of its lists in Documents.
 type sourceFile struct {
 	name string
 	tree *ast.File
-	// first is the index in Documents of the file's first item, by list.
-	first map[string]int
-	count map[string]int
+	// firstIndex and counts give, by list name, the index in Documents of the
+	// file's first item and the number of its items.
+	firstIndex map[string]int
+	counts     map[string]int
 }
 
-// ReadPath reads a YAML file, or all *.yaml files of a directory in the order
-// of their names, as one set of documents. It returns Problems for what can't
-// be read or is not allowed.
+// ReadPath reads a YAML file, or all *.yaml files of a directory in name order, as
+// one set of documents. It returns Problems for invalid input.
 func ReadPath(path string) (*Source, error) {
 	names, err := yamlFiles(path)
 	if err != nil {
@@ -53,7 +52,7 @@
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	return s, s.located(Validate(s.Documents)).Err()
+	return s, s.locateAll(Validate(s.Documents)).Err()
 }
 
 func yamlFiles(path string) ([]string, error) {
@@ -69,13 +68,13 @@
 		return nil, err
 	}
 	if len(names) == 0 {
-		return nil, errors.Errorf("%s: holds no *.yaml file; make one with bundle init", path)
+		return nil, errors.Errorf("%s: contains no *.yaml file; make one with bundle init", path)
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-// add reads one file into the documents.
+// add appends the content of one file to the documents.
 func (s *Source) add(name string, content []byte) Problems {
 	docs, tree, problem := parseFile(name, content)
 	if problem != nil {
@@ -84,14 +83,14 @@
 	if s.Documents.Policy != (Policy{}) && docs.Policy != (Policy{}) {
 		return Problems{{
 			File: name, Line: 1, Column: 1, Path: "policy",
-			Message: "an earlier file has a policy too", Fix: "keep the policy in one file",
+			Message: "another file also has a policy", Fix: "keep the policy in one file",
 		}}
 	}
-	file := sourceFile{name: name, tree: tree, first: map[string]int{
+	file := sourceFile{name: name, tree: tree, firstIndex: map[string]int{
 		"routes": len(s.Documents.Routes), "callers": len(s.Documents.Callers),
 		"classes": len(s.Documents.Classes), "services": len(s.Documents.Services),
 		"quarantine": len(s.Documents.Quarantine),
-	}, count: map[string]int{
+	}, counts: map[string]int{
 		"routes": len(docs.Routes), "callers": len(docs.Callers), "classes": len(docs.Classes),
 		"services": len(docs.Services), "quarantine": len(docs.Quarantine),
 	}}
@@ -107,8 +106,7 @@
 	return nil
 }
 
-// Parse reads one YAML document strictly. It returns a *Problem for anything
-// that is not allowed.
+// Parse parses one YAML document strictly. It returns Problems for invalid input.
 func Parse(name string, content []byte) (Documents, error) {
 	docs, _, problem := parseFile(name, content)
 	if problem != nil {
@@ -124,17 +122,16 @@
 			Message: fmt.Sprintf("%d bytes are over the limit of %d", len(content), maxFileBytes), Fix: "remove what is unused",
 		}
 	}
-	// The parser is a library that reads what people type; a panic in it is
-	// reported like any other syntax error instead of ending the program.
+	// Report a panic of the YAML library as a syntax error.
 	defer func() {
 		if cause := recover(); cause != nil {
 			docs, tree = Documents{}, nil
-			problem = &Problem{File: name, Line: 1, Column: 1, Path: "file", Message: fmt.Sprintf("not YAML that can be read (%v)", cause), Fix: "compare it with the files of bundle init"}
+			problem = &Problem{File: name, Line: 1, Column: 1, Path: "file", Message: fmt.Sprintf("invalid YAML (%v)", cause), Fix: "compare it with the files of bundle init"}
 		}
 	}()
 	tree, err := parser.ParseBytes(content, 0)
 	if err != nil {
-		return docs, nil, problemOf(name, err)
+		return docs, nil, parseProblem(name, err)
 	}
 	if problem := checkTree(name, tree); problem != nil {
 		return docs, nil, problem
@@ -144,14 +141,13 @@
 	}
 	decoder := yaml.NewDecoder(strings.NewReader(string(content)), yaml.Strict())
 	if err := decoder.Decode(&docs); err != nil {
-		return Documents{}, nil, problemOf(name, err)
+		return Documents{}, nil, parseProblem(name, err)
 	}
 	return docs, tree, nil
 }
 
-// checkTree refuses what strict documents don't use: several documents in one
-// file, of which all but the first would be ignored, and anchors, with which a
-// short file can expand to more memory than a machine has.
+// checkTree refuses multiple documents in a file, of which only the first would be
+// read, and anchors, which allow exponential expansion.
 func checkTree(name string, tree *ast.File) *Problem {
 	if len(tree.Docs) > 1 {
 		return &Problem{
@@ -169,7 +165,7 @@
 			position := finder.found.GetToken().Position
 			return &Problem{
 				File: name, Line: position.Line, Column: position.Column, Path: "file",
-				Message: "anchors and aliases are not read", Fix: "write the value out",
+				Message: "anchors and aliases are not supported", Fix: "write the value out",
 			}
 		}
 	}
@@ -178,7 +174,7 @@
 
 type anchorFinder struct{ found ast.Node }
 
-// Visit stops at the first anchor or alias.
+// Visit implements ast.Visitor. It stops at the first anchor or alias.
 func (f *anchorFinder) Visit(node ast.Node) ast.Visitor {
 	switch node.Type() {
 	case ast.AnchorType, ast.AliasType, ast.MergeKeyType:
@@ -190,10 +186,9 @@
 	return f
 }
 
-// fieldMend is the mend for a field that no document has.
-const fieldMend = "check its spelling, or remove it; bundle init writes every field"
+const unknownFieldFix = "check its spelling, or remove it; bundle init writes every field"
 
-func problemOf(name string, err error) *Problem {
+func parseProblem(name string, err error) *Problem {
 	p := &Problem{File: name, Line: 1, Column: 1, Path: "file", Message: oneLine(err.Error()), Fix: "compare it with the files of bundle init"}
 	var positioned yaml.Error
 	if !errors.As(err, &positioned) {
@@ -206,7 +201,7 @@
 	}
 	var unknown *yaml.UnknownFieldError
 	if errors.As(err, &unknown) {
-		p.Message, p.Fix = "there is no such field", fieldMend
+		p.Message, p.Fix = "unknown field", unknownFieldFix
 	}
 	return p
 }
@@ -218,8 +213,8 @@
 
 var listPath = regexp.MustCompile(`^([a-z]+)\[(\d+)\](.*)$`)
 
-// located fills in file, line and column of each problem.
-func (s *Source) located(problems Problems) Problems {
+// locateAll sets file, line and column of each problem.
+func (s *Source) locateAll(problems Problems) Problems {
 	for i := range problems {
 		s.locate(&problems[i])
 	}
@@ -243,7 +238,8 @@
 	}
 }
 
-// localPath turns a path in all documents into one in this file.
+// localPath converts a path in the combined documents to one in this file. It
+// reports false if the path isn't in this file.
 func (f sourceFile) localPath(path string) (string, bool) {
 	parts := listPath.FindStringSubmatch(path)
 	if parts == nil {
@@ -253,21 +249,20 @@
 	if err != nil {
 		return "", false
 	}
-	local := global - f.first[parts[1]]
-	if local < 0 || local >= f.count[parts[1]] {
+	local := global - f.firstIndex[parts[1]]
+	if local < 0 || local >= f.counts[parts[1]] {
 		return "", false
 	}
 	return fmt.Sprintf("%s[%d]%s", parts[1], local, parts[3]), true
 }
 
-// find returns the node at the path; where a field was left out, the item that
-// lacks it.
+// find returns the node at the path, or the closest parent if a field is missing.
 func (f sourceFile) find(path string) ast.Node {
 	for path != "" {
 		at, err := yaml.PathString("$." + path)
 		if err == nil {
 			if node, err := at.FilterFile(f.tree); err == nil && node != nil {
-				return firstOf(node)
+				return firstKey(node)
 			}
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
@@ -275,15 +270,15 @@
 	return nil
 }
 
-// firstOf is the first key of a mapping, which is where people look for it.
-func firstOf(node ast.Node) ast.Node {
+// firstKey returns the first key of a mapping, and any other node unchanged.
+func firstKey(node ast.Node) ast.Node {
 	if mapping, ok := node.(*ast.MappingNode); ok && len(mapping.Values) > 0 {
 		return mapping.Values[0].Key
 	}
 	return node
 }
 
-// UnmarshalYAML reads Go's notation and says where another one stands.
+// UnmarshalYAML reports the position of an invalid duration.
 func (d *Duration) UnmarshalYAML(node ast.Node) error {
 	text := node.GetToken().Value
 	if err := d.UnmarshalText([]byte(text)); err != nil {
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -12,31 +12,30 @@
 )
 
 const (
-	// signContext is signed before the payload, so that a signature made for
-	// something else with the same key is no sign-off.
+	// signContext prefixes the signed message for domain separation.
 	signContext = "goldcrestspan bundle manifest 1\n"
-	// leastSignOffs is how many people must sign: the author and a reviewer.
-	leastSignOffs = 2
-	// maxSignatures bounds the work of checking a stranger's manifest.
+	// minSignOffs counts the author and a reviewer.
+	minSignOffs = 2
+	// maxSignatures bounds the work of verifying an untrusted manifest.
 	maxSignatures = 16
 	// MaxSignedBytes bounds an encoded Signed.
 	MaxSignedBytes = 2*MaxManifestBytes + maxSignatures*256
 )
 
-// Signed is a manifest's payload with its sign-offs, as it lies in the
-// platform and travels between hosts.
+// Signed is a manifest's payload with its signatures, as stored in the platform
+// and sent between hosts.
 type Signed struct {
 	Payload    []byte      `json:"payload"`
 	Signatures []Signature `json:"signatures"`
 }
 
-// Signature is one person's sign-off on a payload.
+// Signature is one signer's sign-off on a payload.
 type Signature struct {
 	Signer    string `json:"signer"`
 	Signature []byte `json:"signature"`
 }
 
-// NewSigned makes a manifest without sign-offs.
+// NewSigned encodes a manifest without signatures.
 func NewSigned(m Manifest) (Signed, error) {
 	m.Format = manifestFormat
 	payload, err := m.Encode()
@@ -49,7 +48,7 @@
 	return Signed{Payload: payload}, nil
 }
 
-// Sign adds a sign-off in place of an earlier one of the same signer.
+// Sign returns a copy with a signature added or replaced for the signer.
 func (s Signed) Sign(signer string, key ed25519.PrivateKey) Signed {
 	added := Signature{Signer: signer, Signature: ed25519.Sign(key, s.message())}
 	signatures := make([]Signature, 0, len(s.Signatures)+1)
@@ -61,19 +60,19 @@
 	return Signed{Payload: s.Payload, Signatures: append(signatures, added)}
 }
 
-// Hash is the hash of the payload; sign-offs do not change it.
+// Hash returns the hash of the payload, which excludes the signatures.
 func (s Signed) Hash() Hash { return HashOf(s.Payload) }
 
-// Manifest reads the payload without looking at the sign-offs.
+// Manifest decodes the payload without verifying signatures.
 func (s Signed) Manifest() (Manifest, error) { return DecodeManifest(s.Payload) }
 
-// Encode writes the signed manifest as JSON.
+// Encode encodes the signed manifest in JSON.
 func (s Signed) Encode() ([]byte, error) {
 	raw, err := json.Marshal(s)
 	return raw, errors.Wrap(err, "encode signed manifest")
 }
 
-// DecodeSigned reads what Encode writes. It checks no signature.
+// DecodeSigned decodes a signed manifest. It doesn't verify signatures.
 func DecodeSigned(raw []byte) (Signed, error) {
 	if len(raw) > MaxSignedBytes {
 		return Signed{}, errors.Errorf("signed manifest of %d bytes is over the limit of %d", len(raw), MaxSignedBytes)
@@ -89,13 +88,13 @@
 	return append([]byte(signContext), s.Payload...)
 }
 
-// Signers are the people who may sign bundles and their public keys. While a
-// key is rotated a person has both the old and the new one.
+// Signers holds the public keys of the people who may sign bundles. During a key
+// rotation a signer has several keys.
 type Signers struct {
 	keys map[string][]ed25519.PublicKey
 }
 
-// NewSigners reads the signers of a host's settings.
+// NewSigners decodes the signers of a host's settings.
 func NewSigners(list []settings.Signer) (Signers, error) {
 	signers := Signers{keys: make(map[string][]ed25519.PublicKey, len(list))}
 	owner := make(map[string]string, len(list))
@@ -104,8 +103,7 @@
 		if err != nil || len(raw) != ed25519.PublicKeySize {
 			return Signers{}, errors.Errorf("signer %s: public_key must be %d bytes in base64", signer.Name, ed25519.PublicKeySize)
 		}
-		// One key under two names would let one person sign as both author
-		// and reviewer: the two-person rule would hold on paper only.
+		// A key under two names would let one person sign as author and reviewer.
 		if other, taken := owner[string(raw)]; taken && other != signer.Name {
 			return Signers{}, errors.Errorf("signers %s and %s have the same public_key; each person needs a key", other, signer.Name)
 		}
@@ -115,20 +113,19 @@
 	return signers, nil
 }
 
-// SignatureError says which sign-off is missing or wrong.
+// SignatureError reports a missing or invalid signature.
 type SignatureError struct {
 	Ref     Ref
 	Message string
 }
 
-// Error writes what is wrong and the mend on one line.
+// Error implements error.
 func (e *SignatureError) Error() string {
 	return fmt.Sprintf("generation %d: %s", e.Ref.Generation, e.Message)
 }
 
-// Verify checks the payload and its sign-offs: the author and at least one
-// other signer, each with a key that the settings name. Only a manifest that
-// went through Verify may be applied.
+// Verify checks that the author and at least one other known signer have signed
+// the payload. Only verified manifests may be applied.
 func (s Signers) Verify(signed Signed) (Manifest, error) {
 	m, err := signed.Manifest()
 	if err != nil {
@@ -136,7 +133,7 @@
 	}
 	ref := Ref{Generation: m.Generation, Hash: signed.Hash()}
 	if len(signed.Signatures) > maxSignatures {
-		return Manifest{}, &SignatureError{ref, fmt.Sprintf("%d signatures; at most %d are read", len(signed.Signatures), maxSignatures)}
+		return Manifest{}, &SignatureError{ref, fmt.Sprintf("%d signatures; at most %d are allowed", len(signed.Signatures), maxSignatures)}
 	}
 	valid, err := s.validSigners(signed)
 	if err != nil {
@@ -145,14 +142,14 @@
 	if !valid[m.Author] {
 		return Manifest{}, &SignatureError{ref, fmt.Sprintf("not signed by its author %s; run bundle sign as the author", m.Author)}
 	}
-	if len(valid) < leastSignOffs {
+	if len(valid) < minSignOffs {
 		return Manifest{}, &SignatureError{ref, fmt.Sprintf("signed by %s alone; run bundle sign as another signer", m.Author)}
 	}
 	return m, nil
 }
 
-// validSigners returns who signed. One bad signature refuses the whole: it
-// means that the file was altered after the sign-off or that a key is wrong.
+// validSigners returns the names of the signers. It fails if any signature is
+// invalid.
 func (s Signers) validSigners(signed Signed) (map[string]bool, error) {
 	valid := make(map[string]bool, len(signed.Signatures))
 	message := signed.message()
@@ -162,7 +159,7 @@
 			return nil, errors.Errorf("signed by %q, who is not among the signers; add the public key to keys.signers or sign as someone else", signature.Signer)
 		}
 		if !verifyAny(keys, message, signature.Signature) {
-			return nil, errors.Errorf("the signature of %s does not fit the manifest and any public key of theirs; sign again", signature.Signer)
+			return nil, errors.Errorf("the signature of %s does not match the manifest under any of their public keys; sign again", signature.Signer)
 		}
 		valid[signature.Signer] = true
 	}
--- a/bundle/split.go
+++ b/bundle/split.go
@@ -13,22 +13,20 @@
 )
 
 const (
-	// partBytes is the size of a part that Split aims at. A change moves the
-	// manifest (46 bytes for each part) and one part; docs/measurements/rollout.md
-	// has the sizes that were tried.
-	partBytes = 8 << 10
-	// resplitFactor is how far the mean size of parts may drift from
-	// partBytes before the number of parts changes. A new number moves every
-	// item, so a bundle near the boundary must not flip between two numbers.
+	// targetPartBytes is the target size of a part. Smaller parts make changes
+	// smaller but the manifest larger.
+	targetPartBytes = 8 << 10
+	// resplitFactor is the hysteresis of the part count: the factor by which the
+	// mean part size may deviate from the target. A new count moves every item.
 	resplitFactor = 4
-	// MaxBundleBytes bounds all documents together, which hosts keep in memory.
+	// MaxBundleBytes bounds the total size of the documents.
 	MaxBundleBytes = 8 << 20
 )
 
 // Contents maps content hashes to the documents' bytes.
 type Contents map[Hash][]byte
 
-// Bytes is the size of all documents together.
+// Bytes returns the total size of the documents.
 func (c Contents) Bytes() int {
 	total := 0
 	for _, content := range c {
@@ -43,15 +41,14 @@
 	Quarantine []QuarantineOverride `json:"quarantine"`
 }
 
-// Split cuts documents into content-addressed parts. With the parts of the
-// configuration that was changed, it keeps their number where it can, so that
-// the change of one item changes one part.
+// Split splits documents into content-addressed parts. It keeps the part counts of
+// the previous configuration where possible, so that changing one item changes
+// one part.
 func Split(docs Documents, previous Parts) (Parts, Contents, error) {
-	return SplitAt(docs, previous, partBytes)
+	return SplitAt(docs, previous, targetPartBytes)
 }
 
-// SplitAt is Split with another size of parts than the default, in bytes. How
-// a bundle is split is its author's choice: readers take any.
+// SplitAt is Split with a target part size in bytes. Readers accept any split.
 func SplitAt(docs Documents, previous Parts, size int) (Parts, Contents, error) {
 	contents := make(Contents)
 	var parts Parts
@@ -104,7 +101,8 @@
 	return int(xxhash.Sum64String(name) & uint64(count-1))
 }
 
-// partCount is a power of two: the previous one while parts stay near size.
+// partCount returns a power of two, the previous count while the mean part size
+// stays near size.
 func partCount(total, previous, size int) int {
 	if previous > 0 && total <= previous*size*resplitFactor && (previous == 1 || total*resplitFactor >= previous*size) {
 		return previous
@@ -129,17 +127,17 @@
 	return hash, nil
 }
 
-// MissingError lists documents that are named but not at hand.
+// MissingError lists documents that are referenced but not available.
 type MissingError struct {
 	Hashes []Hash
 }
 
-// Error counts what is missing.
+// Error implements error.
 func (e *MissingError) Error() string {
 	return errors.Errorf("%d documents are missing, the first is %s", len(e.Hashes), e.Hashes[0].Short()).Error()
 }
 
-// Missing lists the documents of the parts that contents lacks.
+// Missing returns the hashes of the documents that contents lacks.
 func (p Parts) Missing(contents Contents) []Hash {
 	var missing []Hash
 	for _, hash := range p.All() {
@@ -150,8 +148,8 @@
 	return missing
 }
 
-// Join puts documents together again. It checks every content against its
-// hash, so contents may come from anyone.
+// Join reassembles the documents. It verifies contents against their hashes, so
+// they may come from untrusted sources.
 func Join(parts Parts, contents Contents) (Documents, error) {
 	if missing := parts.Missing(contents); len(missing) > 0 {
 		return Documents{}, &MissingError{missing}
@@ -186,7 +184,7 @@
 		}
 		for _, item := range bucket {
 			if bucketOf(name(item), len(hashes)) != i {
-				return nil, errors.Errorf("document %s: item %q belongs into another part", hash.Short(), name(item))
+				return nil, errors.Errorf("document %s: item %q belongs to another part", hash.Short(), name(item))
 			}
 		}
 		items = append(items, bucket...)
@@ -195,15 +193,15 @@
 	return items, nil
 }
 
-func readDocument(contents Contents, hash Hash, into any) error {
+func readDocument(contents Contents, hash Hash, target any) error {
 	content := contents[hash]
 	if HashOf(content) != hash {
-		return errors.Errorf("document %s: its content has another hash", hash.Short())
+		return errors.Errorf("document %s: content does not match its hash", hash.Short())
 	}
-	if err := decodeStrict(content, into); err != nil {
+	if err := decodeStrict(content, target); err != nil {
 		return errors.Wrapf(err, "document %s", hash.Short())
 	}
-	if again, err := json.Marshal(into); err != nil || !bytes.Equal(again, content) {
+	if encoded, err := json.Marshal(target); err != nil || !bytes.Equal(encoded, content) {
 		return errors.Errorf("document %s is not in its canonical encoding", hash.Short())
 	}
 	return nil
