--- a/settings/check.go
+++ b/settings/check.go
@@ -28,9 +28,8 @@
 	}
 }
 
-// isIPPort accepts a concrete IP number with a port. Names are refused: the
-// hosts speak by IP numbers. Wildcards and port 0 are refused: others are
-// told this address.
+// isIPPort accepts an IP address with a port. Host names are refused, and so are
+// wildcard addresses and port 0, which peers could not connect to.
 func isIPPort(field validator.FieldLevel) bool {
 	address, err := netip.ParseAddrPort(field.Field().String())
 	return err == nil && address.Port() != 0 && !address.Addr().IsUnspecified()
@@ -41,8 +40,7 @@
 	return err == nil && len(raw) == ed25519.PublicKeySize
 }
 
-// check reports what the types alone do not tell: missing keys, ranges and
-// keys that clash with each other.
+// check reports missing keys, values out of range and inconsistent keys.
 func (d *decoder) check(s *Settings) {
 	reported := make(map[string]bool, len(d.problems))
 	for _, problem := range d.problems {
@@ -60,20 +58,18 @@
 	d.checkSizes(s.Limits)
 }
 
-// reportFailure skips keys whose value already failed to decode: the range of
-// a default would only confuse.
+// reportFailure reports a failure unless the key's value already failed to decode.
 func (d *decoder) reportFailure(failure validator.FieldError, reported map[string]bool) {
 	_, key, _ := strings.Cut(failure.Namespace(), ".")
 	if reported[key] {
 		return
 	}
-	what, mend := explain(failure)
-	d.reportAt(key, what, mend)
+	message, fix := describeFailure(failure)
+	d.reportAt(key, message, fix)
 }
 
-// reportAt reports at the key, or at the nearest group around it if the key
-// itself is not in the file.
-func (d *decoder) reportAt(key, what, mend string) {
+// reportAt reports a problem at the key, or at its closest parent in the file.
+func (d *decoder) reportAt(key, message, fix string) {
 	at := Position{Line: 1, Column: 1}
 	for path := key; path != ""; path = parent(path) {
 		if found, ok := d.positions[path]; ok {
@@ -81,7 +77,7 @@
 			break
 		}
 	}
-	d.report(at, key, what, mend)
+	d.report(at, key, message, fix)
 }
 
 func parent(key string) string {
@@ -91,12 +87,12 @@
 	return ""
 }
 
-func explain(failure validator.FieldError) (what, mend string) {
+func describeFailure(failure validator.FieldError) (message, fix string) {
 	switch failure.Tag() {
 	case "required":
 		return "is missing", "add it"
 	case "ip_port":
-		return fmt.Sprintf("%q is not an IP number with a port", failure.Value()), `write it as "10.0.0.7:8443" or "[fd00::7]:8443", no name, no wildcard, no port 0`
+		return fmt.Sprintf("%q is not an IP address with a port", failure.Value()), `write it as "10.0.0.7:8443" or "[fd00::7]:8443", no name, no wildcard, no port 0`
 	case "ed25519_key":
 		return "is not an ed25519 public key", "give the 32 bytes of the key in standard base64"
 	case "unique":
@@ -104,9 +100,9 @@
 	case "oneof":
 		return fmt.Sprintf("%q is not known", failure.Value()), "choose one of: " + failure.Param()
 	case "min":
-		return "is too " + smallWord(failure) + amount(failure), "the least is " + failure.Param()
+		return "is too " + smallWord(failure) + formatAmount(failure), "the least is " + failure.Param()
 	case "max":
-		return "is too " + largeWord(failure) + amount(failure), "the most is " + failure.Param()
+		return "is too " + largeWord(failure) + formatAmount(failure), "the most is " + failure.Param()
 	default:
 		return "is not valid", "see docs/operators/settings.md"
 	}
@@ -130,7 +126,7 @@
 	}
 }
 
-func amount(failure validator.FieldError) string {
+func formatAmount(failure validator.FieldError) string {
 	switch failure.Kind() {
 	case reflect.Slice:
 		return fmt.Sprintf(" (%d entries)", reflect.ValueOf(failure.Value()).Len())
--- a/settings/cross.go
+++ b/settings/constraints.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// checkTLS wants either all certificate files or the explicit word that there
-// are none. A default in either direction would one day serve callers' tokens
-// in the clear, or refuse to start, without anybody having decided it.
+// checkTLS requires either all certificate files or plain_text. There is no default,
+// so that sending tokens in plain text is an explicit decision.
 func (d *decoder) checkTLS(tls TLS) {
 	pairs := []struct {
 		key    string
@@ -23,10 +22,10 @@
 			d.checkNoFiles(p.key, p.pair)
 			continue
 		}
-		d.wantFile(p.key+".certificate", p.pair.CertFile)
-		d.wantFile(p.key+".key", p.pair.KeyFile)
+		d.requireFile(p.key+".certificate", p.pair.CertFile)
+		d.requireFile(p.key+".key", p.pair.KeyFile)
 		if p.mutual {
-			d.wantFile(p.key+".authorities", p.pair.CAFile)
+			d.requireFile(p.key+".authorities", p.pair.CAFile)
 		}
 	}
 }
@@ -37,7 +36,7 @@
 	}
 }
 
-func (d *decoder) wantFile(key, path string) {
+func (d *decoder) requireFile(key, path string) {
 	if path == "" && !d.hasProblem(key) {
 		d.reportAt(key, "is missing", "name the PEM file, or set tls.plain_text to true to go without TLS")
 	}
@@ -58,41 +57,40 @@
 		{"listeners.peers", l.Peers},
 		{"listeners.operators", l.Operators},
 	}
-	seen := make(map[string]string, len(listeners))
+	keys := make(map[string]string, len(listeners))
 	for _, listener := range listeners {
 		if listener.address == "" {
 			continue
 		}
-		if other, twice := seen[listener.address]; twice {
+		if other, duplicate := keys[listener.address]; duplicate {
 			d.reportAt(listener.key, "is the same address as "+other, "give each listener a port of its own")
 		}
-		seen[listener.address] = listener.key
+		keys[listener.address] = listener.key
 	}
 }
 
-// cutOffCalls is how many calls to the platform may fail one after the other
-// before a host takes itself for cut off: with one, a single slow call would
-// make a healthy host refuse work.
-const cutOffCalls = 2
+// minCutOffCalls is the least number of platform call timeouts that cut_off_after
+// must span.
+const minCutOffCalls = 2
 
 func (d *decoder) checkTimes(s *Settings) {
-	d.wantLess("limits.stop_wait", 2*MaxAdviceTTL, s.Limits.StopWait,
-		"a stopping host must outlast twice the longest time that callers keep advice")
-	d.wantAtMost("limits.cut_off_after", cutOffCalls*s.Platform.Timeout, s.Limits.CutOffAfter,
+	d.requireMoreThan("limits.stop_wait", 2*MaxAdviceTTL, s.Limits.StopWait,
+		"a stopping host must outlast twice the longest time that callers cache advice")
+	d.requireAtLeast("limits.cut_off_after", minCutOffCalls*s.Platform.Timeout, s.Limits.CutOffAfter,
 		"one slow call to the platform must not cut the host off")
-	d.wantAtMost("limits.body_timeout", s.Limits.HeaderTimeout, s.Limits.BodyTimeout,
-		"the whole request takes no less than its head")
+	d.requireAtLeast("limits.body_timeout", s.Limits.HeaderTimeout, s.Limits.BodyTimeout,
+		"reading the whole request takes at least as long as reading its header")
 }
 
-func (d *decoder) wantLess(key string, bound, got time.Duration, why string) {
+func (d *decoder) requireMoreThan(key string, bound, got time.Duration, reason string) {
 	if got <= bound && !d.hasProblem(key) {
-		d.reportAt(key, fmt.Sprintf("is %v, %s", got, why), fmt.Sprintf("make it more than %v", bound))
+		d.reportAt(key, fmt.Sprintf("is %v, %s", got, reason), fmt.Sprintf("make it more than %v", bound))
 	}
 }
 
-func (d *decoder) wantAtMost(key string, bound, got time.Duration, why string) {
+func (d *decoder) requireAtLeast(key string, bound, got time.Duration, reason string) {
 	if got < bound && !d.hasProblem(key) {
-		d.reportAt(key, fmt.Sprintf("is %v, %s", got, why), fmt.Sprintf("make it at least %v", bound))
+		d.reportAt(key, fmt.Sprintf("is %v, %s", got, reason), fmt.Sprintf("make it at least %v", bound))
 	}
 }
 
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -11,9 +11,9 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// decoder copies a YAML tree into a struct. The library's own strict mode
-// stops at the first unknown key; this one goes on, so that an operator mends
-// a file in one round, and it keeps where each key stands for the later checks.
+// decoder decodes a YAML tree into a struct. Unlike the library's strict mode it
+// reports all unknown keys, and it records the position of each key for later
+// checks.
 type decoder struct {
 	file      string
 	positions map[string]Position // of each key's value, by dotted path
@@ -22,11 +22,11 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func (d *decoder) report(at Position, key, what, mend string) {
-	d.problems = append(d.problems, Problem{File: d.file, Position: at, Key: key, Message: what, Fix: mend})
+func (d *decoder) report(at Position, key, message, fix string) {
+	d.problems = append(d.problems, Problem{File: d.file, Position: at, Key: key, Message: message, Fix: fix})
 }
 
-// value decodes one node into out, whose type is one of those in Settings.
+// value decodes a node into out, which has one of the types used in Settings.
 func (d *decoder) value(node ast.Node, key string, out reflect.Value) {
 	at := position(node)
 	d.positions[key] = at
@@ -109,32 +109,31 @@
 }
 
 func (d *decoder) integer(node ast.Node, key string, out reflect.Value) {
-	const mend = "write digits only, without quotes"
+	const fix = "write digits only, without quotes"
 	n, ok := node.(*ast.IntegerNode)
 	if !ok {
-		d.report(position(node), key, "must be a whole number", mend)
+		d.report(position(node), key, "must be a whole number", fix)
 		return
 	}
 	v, err := strconv.ParseInt(strings.ReplaceAll(n.Token.Value, "_", ""), 10, 64)
 	if err != nil || out.OverflowInt(v) {
-		d.report(position(node), key, fmt.Sprintf("%s is no decimal number in range", n.Token.Value), mend)
+		d.report(position(node), key, fmt.Sprintf("%s is not a decimal number in range", n.Token.Value), fix)
 		return
 	}
 	out.SetInt(v)
 }
 
-// duration refuses a bare number: read as nanoseconds, "timeout: 5" would
-// make every call fail at once.
+// duration refuses numbers without a unit, which would mean nanoseconds.
 func (d *decoder) duration(node ast.Node, key string, out reflect.Value) {
-	const mend = `write a number and a unit, such as "250ms", "5s" or "1m"`
+	const fix = `write a number and a unit, such as "250ms", "5s" or "1m"`
 	n, ok := node.(*ast.StringNode)
 	if !ok {
-		d.report(position(node), key, "must be a time with a unit", mend)
+		d.report(position(node), key, "must be a time with a unit", fix)
 		return
 	}
 	v, err := time.ParseDuration(n.Value)
 	if err != nil {
-		d.report(position(node), key, fmt.Sprintf("%q is not a time", n.Value), mend)
+		d.report(position(node), key, fmt.Sprintf("%q is not a time", n.Value), fix)
 		return
 	}
 	out.SetInt(int64(v))
@@ -165,28 +164,28 @@
 }
 
 func keyName(key ast.MapKeyNode) string {
-	if tk := key.GetToken(); tk != nil {
-		return tk.Value
+	if tok := key.GetToken(); tok != nil {
+		return tok.Value
 	}
 	return key.String()
 }
 
 func position(node ast.Node) Position {
-	tk := node.GetToken()
+	tok := node.GetToken()
 	if m, ok := node.(*ast.MappingNode); ok && len(m.Values) > 0 {
-		tk = m.Values[0].Key.GetToken()
+		tok = m.Values[0].Key.GetToken()
 	}
 	if m, ok := node.(*ast.MappingValueNode); ok {
-		tk = m.Key.GetToken()
+		tok = m.Key.GetToken()
 	}
-	return tokenPosition(tk)
+	return tokenPosition(tok)
 }
 
-func tokenPosition(tk *token.Token) Position {
-	if tk == nil || tk.Position == nil {
+func tokenPosition(tok *token.Token) Position {
+	if tok == nil || tok.Position == nil {
 		return Position{Line: 1, Column: 1}
 	}
-	return Position{Line: tk.Position.Line, Column: tk.Position.Column}
+	return Position{Line: tok.Position.Line, Column: tok.Position.Column}
 }
 
 func join(key, name string) string {
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -12,12 +12,10 @@
 	"github.com/pkg/errors"
 )
 
-// maxFileBytes bounds a settings file; the largest sensible one, with 64
-// peers and 64 signers, is under a tenth of it.
 const maxFileBytes = 256 << 10
 
-// Load reads and checks the settings file. An error of type Problems lists
-// everything that is wrong in it.
+// Load reads and validates a settings file. If it is invalid, the error is of type
+// Problems.
 func Load(path string) (*Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -33,8 +31,8 @@
 	return Parse(path, data)
 }
 
-// Parse checks the content of a settings file; name is the file's name for
-// messages. Keys that are left out get their defaults.
+// Parse parses and validates the content of a settings file; name is its name in
+// messages. Omitted keys get their defaults.
 func Parse(name string, data []byte) (*Settings, error) {
 	d := &decoder{file: name, positions: make(map[string]Position)}
 	s := Defaults()
@@ -51,8 +49,8 @@
 	return &s, nil
 }
 
-// root parses the text; it returns nil, with a problem unless the file is
-// merely empty, when there is no tree to decode.
+// root parses the text and returns its root node, or nil if the file is empty or
+// a problem was reported.
 func (d *decoder) root(data []byte) ast.Node {
 	start := Position{Line: 1, Column: 1}
 	if len(data) > maxFileBytes {
@@ -80,11 +78,11 @@
 
 func (d *decoder) syntax(err error) {
 	at := Position{Line: 1, Column: 1}
-	what, _, _ := strings.Cut(err.Error(), "\n")
+	message, _, _ := strings.Cut(err.Error(), "\n")
 	var located yaml.Error
 	if stderrors.As(err, &located) {
 		at = tokenPosition(located.GetToken())
-		what = strings.ReplaceAll(located.GetMessage(), "\n", " ")
+		message = strings.ReplaceAll(located.GetMessage(), "\n", " ")
 	}
-	d.report(at, "", what, "mend the YAML there")
+	d.report(at, "", message, "fix the YAML syntax there")
 }
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -7,39 +7,38 @@
 	"strings"
 )
 
-// Position is a place in a file; lines and columns count from 1.
+// Position is a position in a file; lines and columns count from 1.
 type Position struct {
 	Line   int
 	Column int
 }
 
-// Problem is one thing wrong in a settings file.
+// Problem is an error in a settings file, with a suggested fix.
 type Problem struct {
 	File string
 	Position
-	Key     string // dotted path of the key, such as limits.stop_wait
+	Key     string // dotted path, such as limits.stop_wait
 	Message string
 	Fix     string
 }
 
-// String writes where, what and the mend on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	key := ""
 	if p.Key != "" {
 		key = p.Key + ": "
 	}
 	line := fmt.Sprintf("%s:%d:%d: %s%s; %s", p.File, p.Line, p.Column, key, p.Message, p.Fix)
-	return oneLine.Replace(line)
+	return lineBreaks.Replace(line)
 }
 
-// oneLine keeps a value or key with line breaks in it from spreading its
-// problem over several lines.
-var oneLine = strings.NewReplacer("\n", " ", "\r", " ")
+// lineBreaks replaces line breaks in keys and values, to keep a problem on one line.
+var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
 
-// Problems are all the problems of one file, in the order of the file.
+// Problems is a list of all problems of a file in file order.
 type Problems []Problem
 
-// Error writes each problem on a line of its own.
+// Error formats one problem per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
--- a/settings/suggest.go
+++ b/settings/suggest.go
@@ -7,18 +7,17 @@
 	"strings"
 )
 
-// closeEnough is the most edits at which an unknown key is taken for a
-// misspelling of a known one.
-const closeEnough = 3
+// maxSuggestionEdits is the largest edit distance at which a known key is suggested.
+const maxSuggestionEdits = 3
 
-// suggestKey tells what to write in place of an unknown key.
+// suggestKey returns the suggested fix for an unknown key.
 func suggestKey(name string, fields map[string]reflect.Value) string {
 	known := make([]string, 0, len(fields))
 	for key := range fields {
 		known = append(known, key)
 	}
 	slices.Sort(known)
-	best, edits := "", closeEnough+1
+	best, edits := "", maxSuggestionEdits+1
 	for _, key := range known {
 		if n := editDistance(name, key); n < edits {
 			best, edits = key, n
@@ -30,12 +29,11 @@
 	return "remove it; known here: " + strings.Join(known, ", ")
 }
 
-// editDistance counts the insertions, deletions and replacements between two
-// words. Long words are compared by their start only, so that a hostile file
-// costs no more than a short one.
+// editDistance returns the Levenshtein distance of two words. It compares only the
+// start of long words, to bound the cost of untrusted input.
 func editDistance(a, b string) int {
-	const longest = 64
-	a, b = a[:min(len(a), longest)], b[:min(len(b), longest)]
+	const maxCompared = 64 // bytes
+	a, b = a[:min(len(a), maxCompared)], b[:min(len(b), maxCompared)]
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
