--- a/certs/certs.go
+++ b/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs owns the TLS files of the listeners. They are read again when
-// they change, so that keys and authorities rotate without a restart.
+// Package certs loads the TLS files of the listeners and reloads them when they
+// change, so that keys and authorities can be rotated without a restart.
 package certs
 
 import (
@@ -14,91 +14,89 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-// checkEvery bounds how often the files' times are looked at. A new certificate
-// is in use that much later at most.
-const checkEvery = time.Second
+// checkInterval is the minimum time between checks for changed files.
+const checkInterval = time.Second
 
-// Files is one listener's certificate, key and authorities. It is safe for
+// Files holds the certificate, key and authorities of one listener. It is safe for
 // concurrent use.
 type Files struct {
 	pair settings.KeyPair
 	now  func() time.Time
 
-	mu      sync.Mutex
-	checked time.Time
-	stamps  [3]time.Time
-	loaded  loaded
-	failure error // of the last reading; the earlier files stay in use
+	mu          sync.Mutex
+	checked     time.Time
+	modTimes    [3]time.Time
+	credentials credentials
+	reloadErr   error // of the last reload
 }
 
-type loaded struct {
+type credentials struct {
 	certificate tls.Certificate
-	authorities *x509.CertPool // nil: none named
+	authorities *x509.CertPool // nil if not configured
 }
 
-// Open reads the files and fails if any is missing or wrong.
+// Open loads the files. It fails if any is missing or invalid.
 func Open(pair settings.KeyPair, now func() time.Time) (*Files, error) {
 	f := &Files{pair: pair, now: now}
-	first, err := read(pair)
+	first, err := load(pair)
 	if err != nil {
 		return nil, err
 	}
-	f.loaded = first
-	f.stamps = stampsOf(pair)
+	f.credentials = first
+	f.modTimes = modTimesOf(pair)
 	f.checked = now()
 	return f, nil
 }
 
-// ReloadError is why the files as they are now can't be used; nil: they are in use.
+// ReloadError returns the error of the last reload, or nil if the files are in use.
 func (f *Files) ReloadError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failure
+	return f.reloadErr
 }
 
-// Expiry is when the certificate in use ends.
+// Expiry returns when the certificate in use expires.
 func (f *Files) Expiry() time.Time { return f.current().certificate.Leaf.NotAfter }
 
-// current returns what to use, reading the files again if they changed. Files
-// that are half written or wrong leave the earlier ones in use: a mistake in a
-// rotation must not close a listener that works.
-func (f *Files) current() loaded {
+// current returns the credentials, reloading changed files. If a reload fails, for
+// example on a partly written file, the previous credentials stay in use.
+func (f *Files) current() credentials {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if now.Sub(f.checked) < checkEvery {
-		return f.loaded
+	if now.Sub(f.checked) < checkInterval {
+		return f.credentials
 	}
 	f.checked = now
-	stamps := stampsOf(f.pair)
-	if stamps == f.stamps && f.failure == nil {
-		return f.loaded
+	modTimes := modTimesOf(f.pair)
+	if modTimes == f.modTimes && f.reloadErr == nil {
+		return f.credentials
 	}
-	next, err := read(f.pair)
-	f.failure = err
+	next, err := load(f.pair)
+	f.reloadErr = err
 	if err == nil {
-		f.loaded = next
-		f.stamps = stamps
+		f.credentials = next
+		f.modTimes = modTimes
 	}
-	return f.loaded
+	return f.credentials
 }
 
-// ServerConfig makes the configuration of a listener. With authorities in the files
-// a client certificate is verified if given, and demanded if require is set.
+// ServerConfig returns the configuration of a listener. A client certificate is
+// verified if authorities are configured, and required if require is set.
 func (f *Files) ServerConfig(require bool) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		l := f.current()
+		loaded := f.current()
 		config := &tls.Config{
 			MinVersion:   tls.VersionTLS13,
-			Certificates: []tls.Certificate{l.certificate},
-			ClientCAs:    l.authorities,
+			Certificates: []tls.Certificate{loaded.certificate},
+			ClientCAs:    loaded.authorities,
 			NextProtos:   []string{"http/1.1"},
 		}
 		switch {
 		case require:
 			config.ClientAuth = tls.RequireAndVerifyClientCert
-		case l.authorities != nil:
+		case loaded.authorities != nil:
 			config.ClientAuth = tls.VerifyClientCertIfGiven
 		}
 		return config, nil
@@ -106,26 +104,26 @@
 	return base
 }
 
-// MutualConfig makes the configuration between hosts, which serve and dial with the
-// same files: each side shows its certificate and verifies the other's.
+// MutualConfig returns the configuration for mutual TLS between hosts, both to serve
+// and to dial.
 func (f *Files) MutualConfig() *tls.Config {
 	config := f.ServerConfig(true)
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 		certificate := f.current().certificate
 		return &certificate, nil
 	}
-	// The authorities may rotate, which RootCAs can't; VerifyConnection does
-	// the whole verification in place of the standard one.
+	// RootCAs can't be rotated, so VerifyConnection replaces the standard
+	// verification.
 	config.InsecureSkipVerify = true
-	config.VerifyConnection = f.verify
+	config.VerifyConnection = f.verifyPeer
 	return config
 }
 
-// verify checks the certificate of the host that was dialled: signed by an
-// authority in force now, and made out to the address.
-func (f *Files) verify(state tls.ConnectionState) error {
+// verifyPeer verifies the certificate chain and name of the dialed host against the
+// current authorities.
+func (f *Files) verifyPeer(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("certs: the peer shows no certificate")
+		return errors.New("certs: the peer presented no certificate")
 	}
 	options := x509.VerifyOptions{
 		Roots:         f.current().authorities,
@@ -134,40 +132,40 @@
 		CurrentTime:   f.now(),
 	}
 	if options.Roots == nil {
-		return errors.New("certs: no authorities to verify peers by")
+		return errors.New("certs: no authorities configured to verify peers")
 	}
-	for _, between := range state.PeerCertificates[1:] {
-		options.Intermediates.AddCert(between)
+	for _, intermediate := range state.PeerCertificates[1:] {
+		options.Intermediates.AddCert(intermediate)
 	}
 	_, err := state.PeerCertificates[0].Verify(options)
 	return errors.Wrap(err, "certs: verify peer")
 }
 
-func read(pair settings.KeyPair) (loaded, error) {
+func load(pair settings.KeyPair) (credentials, error) {
 	certificate, err := tls.LoadX509KeyPair(pair.CertFile, pair.KeyFile)
 	if err != nil {
-		return loaded{}, errors.Wrap(err, "certs: read certificate and key")
+		return credentials{}, errors.Wrap(err, "certs: load certificate and key")
 	}
-	l := loaded{certificate: certificate}
+	loaded := credentials{certificate: certificate}
 	if pair.CAFile == "" {
-		return l, nil
+		return loaded, nil
 	}
 	raw, err := os.ReadFile(pair.CAFile)
 	if err != nil {
-		return loaded{}, errors.Wrap(err, "certs: read authorities")
+		return credentials{}, errors.Wrap(err, "certs: read authorities")
 	}
-	l.authorities = x509.NewCertPool()
-	if !l.authorities.AppendCertsFromPEM(raw) {
-		return loaded{}, errors.Errorf("certs: %s holds no certificate in PEM", pair.CAFile)
+	loaded.authorities = x509.NewCertPool()
+	if !loaded.authorities.AppendCertsFromPEM(raw) {
+		return credentials{}, errors.Errorf("certs: %s contains no certificate in PEM", pair.CAFile)
 	}
-	return l, nil
+	return loaded, nil
 }
 
-func stampsOf(pair settings.KeyPair) (stamps [3]time.Time) {
+func modTimesOf(pair settings.KeyPair) (modTimes [3]time.Time) {
 	for i, name := range []string{pair.CertFile, pair.KeyFile, pair.CAFile} {
 		if info, err := os.Stat(name); err == nil {
-			stamps[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamps
+	return modTimes
 }
