--- a/bundle/change.go
+++ b/bundle/change.go
@@ -27,8 +27,8 @@
 	Author  string
 	Reason  string
 	Created time.Time
-	// Above raises the new generation over this one. It is needed after the store
-	// was restored to an older state than the hosts'.
+	// Above is a generation that the new one must exceed, besides the parent's. It
+	// is needed after the store was restored to an older state than the hosts'.
 	Above uint64
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -40,7 +40,7 @@
 
 // TLS names the certificate files of the listeners.
 type TLS struct {
-	// PlainText disables TLS for all connections.
+	// PlainText disables TLS on the listeners and between hosts.
 	PlainText bool    `yaml:"plain_text"`
 	Callers   KeyPair `yaml:"callers,omitempty"`
 	Peers     KeyPair `yaml:"peers,omitempty"` // mutual TLS
--- a/status.go
+++ b/status.go
@@ -58,9 +58,9 @@
 		s.Generation = ref.Generation
 		s.Manifest = ref.Hash.Short()
 	}
-	if refused := h.Ready(); refused != nil {
+	if refusal := h.Ready(); refusal != nil {
 		s.Ready = false
-		s.Refusal = refused.Error()
+		s.Refusal = refusal.Error()
 	}
 	for _, host := range h.components.Member.View().Hosts {
 		s.Hosts = append(s.Hosts, hostStatusOf(host))
@@ -111,10 +111,10 @@
 // serveReady reports whether the host accepts new work. A stopping host is not
 // ready from the start of the stop, so that load balancers avoid it.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
-	refused := h.Ready()
+	refusal := h.Ready()
 	switch {
-	case refused != nil:
-		http.Error(w, refused.Error(), http.StatusServiceUnavailable)
+	case refusal != nil:
+		http.Error(w, refusal.Error(), http.StatusServiceUnavailable)
 	case h.stop.Load() != nil:
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	default:
