--- a/bundle/change.go
+++ b/bundle/change.go
@@ -27,9 +27,9 @@
 	Author  string
 	Reason  string
 	Created time.Time
-	// Above is a generation that the new one must exceed, besides the parent's. It
+	// AboveGeneration is a generation that the new one must exceed, besides the parent's. It
 	// is needed after the store was restored to an older state than the hosts'.
-	Above uint64
+	AboveGeneration uint64
 }
 
 // Propose returns an unsigned change of the parent, which is zero for the first
@@ -43,7 +43,7 @@
 		return Change{}, err
 	}
 	return NewChange(Manifest{
-		Generation: max(parent.Generation, p.Above) + 1,
+		Generation: max(parent.Generation, p.AboveGeneration) + 1,
 		Parent:     parent,
 		Author:     p.Author,
 		Reason:     p.Reason,
--- a/bundle/config.go
+++ b/bundle/config.go
@@ -112,11 +112,11 @@
 	if p.QuarantineServers == 0 {
 		p.QuarantineServers = defaultQuarantineServers
 	}
-	if p.QuarantineFor == 0 {
-		p.QuarantineFor = Duration(defaultQuarantineDuration)
+	if p.QuarantineDuration == 0 {
+		p.QuarantineDuration = Duration(defaultQuarantineDuration)
 	}
-	if p.AdviceFor == 0 {
-		p.AdviceFor = Duration(defaultAdviceTTL)
+	if p.AdviceTTL == 0 {
+		p.AdviceTTL = Duration(defaultAdviceTTL)
 	}
 	return p
 }
--- a/bundle/documents.go
+++ b/bundle/documents.go
@@ -5,16 +5,16 @@
 
 import "time"
 
-// Prefer is a route's partial-response strategy: what its answers give up first
+// PartialStrategy is a route's partial-response strategy: what its answers give up first
 // when time runs short.
-type Prefer string
+type PartialStrategy string
 
 // The partial-response strategies.
 const (
 	// PreferLatency answers before the deadline with the shards available.
-	PreferLatency Prefer = "latency"
+	PreferLatency PartialStrategy = "latency"
 	// PreferCoverage waits for the last shards until the deadline.
-	PreferCoverage Prefer = "coverage"
+	PreferCoverage PartialStrategy = "coverage"
 )
 
 // RouteKind distinguishes queries from bookings.
@@ -48,8 +48,8 @@
 	// Callers lists the callers that may use the route.
 	Callers []string `yaml:"callers" json:"callers"`
 	// Classes lists the classes that requests may have; the first is the default.
-	Classes []string `yaml:"classes" json:"classes"`
-	Prefer  Prefer   `yaml:"prefer" json:"prefer"`
+	Classes []string        `yaml:"classes" json:"classes"`
+	Prefer  PartialStrategy `yaml:"prefer" json:"prefer"`
 	// MinCoverage is the share of shards, 0 to 1, below which the request is
 	// refused instead of answered.
 	MinCoverage float64 `yaml:"least_coverage" json:"least_coverage"`
@@ -101,10 +101,10 @@
 	// QuarantineServers is the number of distinct servers that a request must be
 	// suspected of crashing to be refused; default 2.
 	QuarantineServers int `yaml:"quarantine_servers,omitempty" json:"quarantine_servers,omitempty"`
-	// QuarantineFor is how long a quarantine lasts; default 10 minutes.
-	QuarantineFor Duration `yaml:"quarantine_for,omitempty" json:"quarantine_for,omitempty"`
-	// AdviceFor is how long callers may cache the advice on hosts; default 10 s.
-	AdviceFor Duration `yaml:"advice_for,omitempty" json:"advice_for,omitempty"`
+	// QuarantineDuration is how long a quarantine lasts; default 10 minutes.
+	QuarantineDuration Duration `yaml:"quarantine_for,omitempty" json:"quarantine_for,omitempty"`
+	// AdviceTTL is how long callers may cache the advice on hosts; default 10 s.
+	AdviceTTL Duration `yaml:"advice_for,omitempty" json:"advice_for,omitempty"`
 }
 
 // QuarantineOverride is an operator's override for one request fingerprint.
--- a/bundle/split.go
+++ b/bundle/split.go
@@ -45,11 +45,11 @@
 // the previous configuration where possible, so that changing one item changes
 // one part.
 func Split(docs Documents, previous Parts) (Parts, Contents, error) {
-	return SplitAt(docs, previous, targetPartBytes)
+	return SplitWithPartSize(docs, previous, targetPartBytes)
 }
 
-// SplitAt is Split with a target part size in bytes. Readers accept any split.
-func SplitAt(docs Documents, previous Parts, size int) (Parts, Contents, error) {
+// SplitWithPartSize is Split with a target part size in bytes. Readers accept any split.
+func SplitWithPartSize(docs Documents, previous Parts, size int) (Parts, Contents, error) {
 	contents := make(Contents)
 	var parts Parts
 	var err error
--- a/bundle/validate.go
+++ b/bundle/validate.go
@@ -203,9 +203,9 @@
 	}
 	v.checkRange("policy.retry_budget", p.RetryBudget, 0, 1)
 	v.checkRange("policy.quarantine_servers", float64(p.QuarantineServers), 0, maxQuarantineServers)
-	v.checkDuration("policy.quarantine_for", p.QuarantineFor, 0, maxQuarantineDuration)
-	if p.AdviceFor != 0 {
-		v.checkDuration("policy.advice_for", p.AdviceFor, minAdviceTTL, maxAdviceTTL)
+	v.checkDuration("policy.quarantine_for", p.QuarantineDuration, 0, maxQuarantineDuration)
+	if p.AdviceTTL != 0 {
+		v.checkDuration("policy.advice_for", p.AdviceTTL, minAdviceTTL, maxAdviceTTL)
 	}
 }
 
--- a/certificates.go
+++ b/certificates.go
@@ -22,9 +22,9 @@
 	for _, c := range o.certificates {
 		expiry := c.files.Expiry() // reloads changed files first
 		metrics = append(metrics, observe.Certificate{
-			Listener: c.listener,
-			Expires:  expiry,
-			Refused:  c.files.ReloadError() != nil,
+			Listener:     c.listener,
+			Expires:      expiry,
+			ReloadFailed: c.files.ReloadError() != nil,
 		})
 	}
 	return metrics
--- a/components.go
+++ b/components.go
@@ -180,8 +180,8 @@
 		return o.Backends, nil
 	}
 	client := backend.NewClient(backend.Options{
-		MaxReplyBytes: int64(s.Limits.BackendReplyBytes),
-		Limit:         func(server backend.Server) int { return connectionLimit(configs.Config(), server.Service) },
+		MaxReplyBytes:   int64(s.Limits.BackendReplyBytes),
+		ConnectionLimit: func(server backend.Server) int { return connectionLimit(configs.Config(), server.Service) },
 	})
 	return client, client.RegisterMetrics(registry)
 }
--- a/front_service.go
+++ b/front_service.go
@@ -70,7 +70,7 @@
 		Legs:      make([]admit.LegTiming, len(answer.Legs)),
 	}
 	for i, l := range answer.Legs {
-		completion.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, Wait: l.Wait, TimedOut: l.TimedOut}
+		completion.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, QueueTime: l.QueueTime, TimedOut: l.TimedOut}
 	}
 	return completion
 }
@@ -156,7 +156,7 @@
 		region = h.components.Settings.Host.Region
 	}
 	request := entry.AdviceRequest{Key: key, Region: region, Zone: zone}
-	ttl := time.Duration(h.Config().Policy.AdviceFor)
+	ttl := time.Duration(h.Config().Policy.AdviceTTL)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return h.components.Advisor.Advise(h.components.Member.View(), request, ttl, random)
 }
--- a/home_resolver.go
+++ b/home_resolver.go
@@ -27,8 +27,8 @@
 	return h
 }
 
-// Of implements scatter.Homes.
-func (h *homeResolver) Of(service string) (first, second ident.HostID) {
+// Lookup implements scatter.Homes.
+func (h *homeResolver) Lookup(service string) (first, second ident.HostID) {
 	return h.cache.Homes(h.view(), *h.services.Load()).Lookup(service)
 }
 
--- a/load.go
+++ b/load.go
@@ -31,7 +31,7 @@
 		requests := permille * int(h.inFlight.Load()) / h.components.Settings.Limits.MaxConcurrent
 		h.components.Member.SetLoad(uint32(min(max(cpu, requests), permille)))
 		used, measuredAt = nextUsed, nextAt
-		h.components.Advisor.Observe(h.components.Now(), h.components.Member.View())
+		h.components.Advisor.UpdateLoads(h.components.Now(), h.components.Member.View())
 	}
 }
 
--- a/server_registry.go
+++ b/server_registry.go
@@ -69,7 +69,7 @@
 
 // observeDrainSignal marks a server as draining when its reply says so, ahead of
 // the host list.
-func (s *serverRegistry) observeDrainSignal(server backend.Server, end backend.Attempt) {
+func (s *serverRegistry) observeDrainSignal(server backend.Server, end backend.CallResult) {
 	if !end.Reply.Load.Draining && end.Fault != backend.FaultDraining {
 		return
 	}
--- a/settings/constraints.go
+++ b/settings/constraints.go
@@ -74,7 +74,7 @@
 const minCutOffCalls = 2
 
 func (d *decoder) checkTimes(s *Settings) {
-	d.requireMoreThan("limits.stop_wait", 2*MaxAdviceTTL, s.Limits.StopWait,
+	d.requireMoreThan("limits.stop_wait", 2*MaxAdviceTTL, s.Limits.StopTimeout,
 		"a stopping host must outlast twice the longest time that callers cache advice")
 	d.requireAtLeast("limits.cut_off_after", minCutOffCalls*s.Platform.Timeout, s.Limits.CutOffAfter,
 		"one slow call to the platform must not cut the host off")
--- a/status.go
+++ b/status.go
@@ -88,7 +88,7 @@
 
 // registerHostMetrics registers the metrics that read the host's state.
 func (h *Host) registerHostMetrics() error {
-	return observe.RegisterView(h.components.Registry, observe.View{
+	return observe.RegisterGauges(h.components.Registry, observe.GaugeSources{
 		Admission:  h.components.Admission.Stats,
 		Quarantine: func() int { return len(h.components.CrashDetector.registry.Entries(h.components.Now())) },
 		Phase:      h.stopPhase,
--- a/stop.go
+++ b/stop.go
@@ -19,9 +19,9 @@
 func (h *Host) plannedStop(ctx context.Context) {
 	adviceTTL := time.Duration(0)
 	if config := h.Config(); config != nil {
-		adviceTTL = time.Duration(config.Policy.AdviceFor)
+		adviceTTL = time.Duration(config.Policy.AdviceTTL)
 	}
-	stop := drain.Begin(h.components.Now(), adviceTTL, h.components.Settings.Limits.StopWait)
+	stop := drain.Begin(h.components.Now(), adviceTTL, h.components.Settings.Limits.StopTimeout)
 	h.stop.Store(stop)
 	h.leaveMembership(ctx)
 	if stop.Wait(ctx, h.components.Now, h.workInFlight, h.components.Log) {
