--- a/bundle/change.go
+++ b/bundle/change.go
@@ -27,8 +27,9 @@
 	Author  string
 	Reason  string
 	Created time.Time
-	// AboveGeneration is a generation that the new one must exceed, besides the parent's. It
-	// is needed after the store was restored to an older state than the hosts'.
+	// AboveGeneration is a generation that the new one must exceed, besides the
+	// parent's. It is needed after the store was restored to an older state than
+	// the hosts'.
 	AboveGeneration uint64
 }
 
--- a/bundle/documents.go
+++ b/bundle/documents.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// PartialStrategy is a route's partial-response strategy: what its answers give up first
-// when time runs short.
+// PartialStrategy is a route's partial-response strategy: what its answers give up
+// first when time runs short.
 type PartialStrategy string
 
 // The partial-response strategies.
--- a/bundle/split.go
+++ b/bundle/split.go
@@ -48,7 +48,8 @@
 	return SplitWithPartSize(docs, previous, targetPartBytes)
 }
 
-// SplitWithPartSize is Split with a target part size in bytes. Readers accept any split.
+// SplitWithPartSize is Split with a target part size in bytes. Readers accept any
+// split.
 func SplitWithPartSize(docs Documents, previous Parts, size int) (Parts, Contents, error) {
 	contents := make(Contents)
 	var parts Parts
--- a/components_traffic.go
+++ b/components_traffic.go
@@ -41,8 +41,8 @@
 	o.hooks.observer.Started(id, server, fingerprint)
 }
 
-func (o deferredObserver) Ended(id ident.AttemptID, server backend.Server, fingerprint uint64, end backend.CallResult) bool {
-	return o.hooks.observer.Ended(id, server, fingerprint, end)
+func (o deferredObserver) Ended(id ident.AttemptID, server backend.Server, fingerprint uint64, call backend.CallResult) bool {
+	return o.hooks.observer.Ended(id, server, fingerprint, call)
 }
 
 func (o deferredObserver) CheckLeg(request leg.Request) *result.Error {
--- a/crash_detector.go
+++ b/crash_detector.go
@@ -46,14 +46,14 @@
 // Ended implements homeserver.AttemptObserver. After a broken connection it dials
 // the server, since a crash with one request in flight shows no other sign before
 // the restart.
-func (c *crashDetector) Ended(id ident.AttemptID, server backend.Server, fingerprint uint64, end backend.CallResult) (suspect bool) {
-	c.servers.observeDrainSignal(server, end)
+func (c *crashDetector) Ended(id ident.AttemptID, server backend.Server, fingerprint uint64, call backend.CallResult) (suspect bool) {
+	c.servers.observeDrainSignal(server, call)
 	f := quarantine.Fingerprint(fingerprint)
-	c.handleEvent(c.tracker.AttemptEnded(c.now(), id, end.Outcome, end.Fault, end.Reply.Incarnation))
-	if end.Fault == backend.FaultConnectionLost && !acceptsConnections(server.Address) {
+	c.handleEvent(c.tracker.AttemptEnded(c.now(), id, call.Outcome, call.Fault, call.Reply.Incarnation))
+	if call.Fault == backend.FaultConnectionLost && !acceptsConnections(server.Address) {
 		c.handleEvent(c.tracker.ConnectRefused(c.now(), server.Name))
 	}
-	if end.Usable() {
+	if call.Usable() {
 		c.announceVerdict(c.registry.RecordSuccess(c.now(), f, server.Service))
 		return false
 	}
--- a/server_registry.go
+++ b/server_registry.go
@@ -69,15 +69,15 @@
 
 // observeDrainSignal marks a server as draining when its reply says so, ahead of
 // the host list.
-func (s *serverRegistry) observeDrainSignal(server backend.Server, end backend.CallResult) {
-	if !end.Reply.Load.Draining && end.Fault != backend.FaultDraining {
+func (s *serverRegistry) observeDrainSignal(server backend.Server, call backend.CallResult) {
+	if !call.Reply.Load.Draining && call.Fault != backend.FaultDraining {
 		return
 	}
 	signal := draining.SignalDraining
-	if end.Outcome == result.OutcomeRefused {
+	if call.Outcome == result.OutcomeRefused {
 		signal = draining.SignalRefused
 	}
-	instance := draining.Instance{Server: server.Name, Incarnation: end.Reply.Incarnation}
+	instance := draining.Instance{Server: server.Name, Incarnation: call.Reply.Incarnation}
 	if instance.Incarnation == 0 {
 		// The refusal carries no incarnation, so assume the one that was called.
 		instance.Incarnation = server.Incarnation
