--- a/backend/client.go
+++ b/backend/client.go
@@ -51,9 +51,9 @@
 	ProbeTimeout time.Duration
 	// IdleFor is how long an idle connection is kept; default 30 s.
 	IdleFor time.Duration
-	// FreshFor is how recently a connection must have been used to carry a
+	// NonIdempotentIdleTimeout is how recently a connection must have been used to carry a
 	// call that is not idempotent; default 2 s.
-	FreshFor time.Duration
+	NonIdempotentIdleTimeout time.Duration
 	// TLS is for servers that speak TLS; nil: plain text.
 	TLS *tls.Config
 	// Protocol is what the servers speak; nil: the product's own.
@@ -67,7 +67,7 @@
 	orDefault(&o.SilenceBound, defaultSilenceBound)
 	orDefault(&o.ProbeTimeout, defaultProbeTimeout)
 	orDefault(&o.IdleFor, defaultIdleFor)
-	orDefault(&o.FreshFor, defaultFreshFor)
+	orDefault(&o.NonIdempotentIdleTimeout, defaultFreshFor)
 	if o.Protocol == nil {
 		o.Protocol = nativeProtocol{maxReplyBytes: o.MaxReplyBytes}
 	}
@@ -83,11 +83,11 @@
 
 // Stats counts what the Client did since it was made.
 type Stats struct {
-	Dials       uint64 // connections opened, probes included
-	Probes      uint64 // questions after a silence
-	Silent      uint64 // connections dropped as silent
-	Crossed     uint64 // replies dropped as another request's
-	HalfReplies uint64 // replies dropped for their length or digest
+	Dials                   uint64 // connections opened, probes included
+	Probes                  uint64 // questions after a silence
+	UnresponsiveConnections uint64 // connections dropped as silent
+	Crossed                 uint64 // replies dropped as another request's
+	HalfReplies             uint64 // replies dropped for their length or digest
 }
 
 // Client is the HTTP Runner. It never sends a call twice: each goes out on one
@@ -122,11 +122,11 @@
 // Stats returns the counts so far.
 func (c *Client) Stats() Stats {
 	return Stats{
-		Dials:       c.dials.Load(),
-		Probes:      c.probes.Load(),
-		Silent:      c.silent.Load(),
-		Crossed:     c.crossed.Load(),
-		HalfReplies: c.half.Load(),
+		Dials:                   c.dials.Load(),
+		Probes:                  c.probes.Load(),
+		UnresponsiveConnections: c.silent.Load(),
+		Crossed:                 c.crossed.Load(),
+		HalfReplies:             c.half.Load(),
 	}
 }
 
@@ -168,7 +168,7 @@
 func (c *Client) connect(ctx context.Context, server Server, call Call) (*pool, *conn, error) {
 	fresh := c.options.IdleFor
 	if !call.Idempotent {
-		fresh = c.options.FreshFor
+		fresh = c.options.NonIdempotentIdleTimeout
 	}
 	p := c.pool(server)
 	link, err := p.take(time.Now(), fresh, c.limit(server))
