--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is the boundary to the users' backend servers: one call, its
-// reply, and the checks that decide whether a reply may be believed.
+// Package backend is the client for backend servers: it sends calls, validates
+// the replies and classifies failures by whether the server may have run the call.
 package backend
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Server is one backend server as an entry host knows it.
+// Server identifies one backend server.
 type Server struct {
 	Name        string
 	Address     string // IP and port
@@ -34,53 +34,53 @@
 	Deadline   time.Time
 	Idempotent bool
 	Body       []byte
-	// Forward is set for a request that is passed on as its caller sent it.
+	// Forward is set for a request that is forwarded unchanged.
 	Forward *forward.Request
 }
 
-// Load is what a backend server says of itself on a reply. It may lag or
-// mislead: own observations outrank it.
+// Load is the load that a backend server reports in a reply. It may be outdated
+// or wrong, so the host's own observations take precedence.
 type Load struct {
 	Running  int // requests in service
 	Queued   int // requests waiting at the server
-	Slots    int // requests it serves at once
+	Slots    int // requests that the server runs concurrently
 	Draining bool
 }
 
-// Reply is a whole reply whose echoes, length and digest were checked.
+// Reply is a complete reply whose echoed ids, length and digest were verified.
 type Reply struct {
 	Body        []byte
 	Snapshot    snapshot.Version
 	Load        Load
 	Incarnation uint64
-	// Held are the snapshots of the call's index that the server holds, newest
-	// first, if it says so.
+	// Held lists the snapshots of the call's index that the server holds, newest
+	// first; nil if the server doesn't report them.
 	Held []snapshot.Version
-	// Forwarded is the reply to a forwarded request; nil: there is none.
+	// Forwarded is the reply to a forwarded request, or nil.
 	Forwarded *forward.Reply
 }
 
-// Fault says why an attempt gave no reply to use.
+// Fault says why an attempt produced no usable reply.
 type Fault uint8
 
-// The faults of an attempt.
+// The faults of an attempt. Each comment ends with the resulting outcome.
 const (
 	FaultNone             Fault = iota
-	FaultUnreachable            // no connection could be had: unsent
-	FaultConnectionLimit        // the server's connection limit is used up: unsent
-	FaultShed                   // refused before run: overloaded
-	FaultDraining               // refused before run: leaving
-	FaultSnapshotNotHeld        // refused before run: the replica lacks the snapshot
-	FaultDeadline               // no reply by the deadline: unknown
-	FaultCancelled              // cancelled by us while it ran: unknown
-	FaultSilent                 // the connection went silent: unknown
-	FaultBroken                 // the connection broke after sending: unknown
-	FaultHalfReply              // length or digest is wrong: unknown
-	FaultCrossed                // the echoes are another request's: unknown
+	FaultUnreachable            // no connection could be opened: unsent
+	FaultConnectionLimit        // the server's connection limit is reached: unsent
+	FaultShed                   // the server is overloaded: refused
+	FaultDraining               // the server is leaving: refused
+	FaultSnapshotNotHeld        // the server doesn't hold the snapshot: refused
+	FaultDeadline               // no reply before the deadline: unknown
+	FaultCancelled              // cancelled by this host: unknown
+	FaultSilent                 // no data arrived and the server doesn't know the call: unknown
+	FaultBroken                 // the connection was lost after sending: unknown
+	FaultHalfReply              // the body's length or digest is wrong: unknown
+	FaultCrossed                // the echoed ids are another request's: unknown
 	FaultSnapshotMismatch       // answered from another snapshot: ran, not usable
-	FaultServer                 // ran and failed
-	FaultPeerLost               // the host that passed the call on was lost: unknown
-	FaultNotAllowed             // the rules of this moment keep it from the server: unsent
+	FaultServer                 // the server reported a failure: ran
+	FaultPeerLost               // the peer that forwarded the call was lost: unknown
+	FaultNotAllowed             // the eligibility rules exclude the server: unsent
 )
 
 var faultNames = [...]string{
@@ -88,7 +88,7 @@
 	"silent", "broken", "half_reply", "crossed", "snapshot_mismatch", "server", "peer_lost", "not_allowed",
 }
 
-// String is the fault's name in logs.
+// String returns the fault's name as it appears in logs and metrics.
 func (f Fault) String() string {
 	if int(f) >= len(faultNames) {
 		return "unknown"
@@ -96,22 +96,22 @@
 	return faultNames[f]
 }
 
-// Attempt is the end of one Call: what is known of it, and the reply if any.
+// Attempt is the result of one Call: its outcome, and the reply if there is one.
 type Attempt struct {
 	Outcome result.Outcome
 	Fault   Fault
 	Reply   Reply // set when Fault is FaultNone
-	// KeepFor is how long the server keeps the idle connection; zero: not said.
+	// KeepFor is how long the server keeps an idle connection open; zero if unknown.
 	KeepFor time.Duration
-	// RetryAfter is the server's own word on when to come back; zero: none.
+	// RetryAfter is the retry delay that the server asks for; zero if none.
 	RetryAfter time.Duration
 }
 
-// Usable reports whether the attempt's reply may go into an answer.
+// Usable reports whether the reply can be part of an answer.
 func (a Attempt) Usable() bool { return a.Outcome == result.OutcomeRan && a.Fault == FaultNone }
 
-// Runner runs calls on backend servers. It returns at the latest when ctx
-// ends, and never claims OutcomeUnsent or OutcomeRefused without proof.
+// Runner runs calls on backend servers. Run returns when ctx ends at the latest.
+// It reports OutcomeUnsent or OutcomeRefused only if the call certainly didn't run.
 type Runner interface {
 	Run(ctx context.Context, server Server, call Call) Attempt
 }
--- a/backend/client.go
+++ b/backend/client.go
@@ -15,97 +15,96 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// Defaults of Options.
 const (
-	defaultConnections   = 24
-	defaultReplyBytes    = 4 << 20
-	defaultDialTimeout   = 500 * time.Millisecond
-	defaultSilenceBound  = time.Second
-	defaultProbeTimeout  = 500 * time.Millisecond
-	defaultIdleFor       = 30 * time.Second
-	defaultFreshFor      = 2 * time.Second
-	maxHealthBytes       = 1 << 20
-	maxReplyHeaderBytes  = 16 << 10
-	statusServerFailed   = http.StatusInternalServerError
-	statusRefusedNotRun  = http.StatusServiceUnavailable
-	discardedRefusalBody = 4 << 10
+	defaultConnections              = 24
+	defaultMaxReplyBytes            = 4 << 20
+	defaultDialTimeout              = 500 * time.Millisecond
+	defaultReadIdleTimeout          = time.Second
+	defaultProbeTimeout             = 500 * time.Millisecond
+	defaultIdleTimeout              = 30 * time.Second
+	defaultNonIdempotentIdleTimeout = 2 * time.Second
+	maxHealthBytes                  = 1 << 20
+	maxReplyHeaderBytes             = 16 << 10
+	statusFailed                    = http.StatusInternalServerError
+	statusRefused                   = http.StatusServiceUnavailable
+	maxDiscardBytes                 = 4 << 10
 )
 
-// Options of a Client; zero values read as the defaults.
+// Options configures a Client. A zero field selects its default.
 type Options struct {
-	// ConnectionsPerServer bounds this host's connections to each server;
+	// ConnectionsPerServer limits this host's connections to each server;
 	// default 24.
 	ConnectionsPerServer int
-	// Limit gives the bound for each server in place of ConnectionsPerServer.
-	// It is asked at each call and must be cheap; nil: none.
+	// Limit returns the connection limit of a server and overrides
+	// ConnectionsPerServer. It runs on each call and must be cheap.
 	Limit func(Server) int
-	// MaxReplyBytes bounds one reply's body; default 4 MiB.
+	// MaxReplyBytes limits the body of a reply; default 4 MiB.
 	MaxReplyBytes int64
-	// DialTimeout bounds a new connection; default 500 ms.
+	// DialTimeout limits how long opening a connection takes; default 500 ms.
 	DialTimeout time.Duration
-	// SilenceBound is how long a connection with work may bring no bytes
-	// before the server is asked, on another one, whether it still runs the
-	// call; default 1 s, negative: never.
+	// SilenceBound is how long a call may receive no data before the server is
+	// asked, on a new connection, whether it still runs the call; default 1 s,
+	// negative: never.
 	SilenceBound time.Duration
-	// ProbeTimeout bounds that question; default 500 ms.
+	// ProbeTimeout limits that probe; default 500 ms.
 	ProbeTimeout time.Duration
 	// IdleFor is how long an idle connection is kept; default 30 s.
 	IdleFor time.Duration
-	// NonIdempotentIdleTimeout is how recently a connection must have been used to carry a
-	// call that is not idempotent; default 2 s.
+	// NonIdempotentIdleTimeout is the longest idle time of a connection that is
+	// reused for a call that is not idempotent; default 2 s.
 	NonIdempotentIdleTimeout time.Duration
-	// TLS is for servers that speak TLS; nil: plain text.
+	// TLS configures connections to the servers; nil: plain text.
 	TLS *tls.Config
-	// Protocol is what the servers speak; nil: the product's own.
+	// Protocol is the protocol of the servers; default: the native one.
 	Protocol Protocol
 }
 
 func (o Options) withDefaults() Options {
-	orDefault(&o.ConnectionsPerServer, defaultConnections)
-	orDefault(&o.MaxReplyBytes, defaultReplyBytes)
-	orDefault(&o.DialTimeout, defaultDialTimeout)
-	orDefault(&o.SilenceBound, defaultSilenceBound)
-	orDefault(&o.ProbeTimeout, defaultProbeTimeout)
-	orDefault(&o.IdleFor, defaultIdleFor)
-	orDefault(&o.NonIdempotentIdleTimeout, defaultFreshFor)
+	setDefault(&o.ConnectionsPerServer, defaultConnections)
+	setDefault(&o.MaxReplyBytes, defaultMaxReplyBytes)
+	setDefault(&o.DialTimeout, defaultDialTimeout)
+	setDefault(&o.SilenceBound, defaultReadIdleTimeout)
+	setDefault(&o.ProbeTimeout, defaultProbeTimeout)
+	setDefault(&o.IdleFor, defaultIdleTimeout)
+	setDefault(&o.NonIdempotentIdleTimeout, defaultNonIdempotentIdleTimeout)
 	if o.Protocol == nil {
 		o.Protocol = nativeProtocol{maxReplyBytes: o.MaxReplyBytes}
 	}
 	return o
 }
 
-func orDefault[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Stats counts what the Client did since it was made.
+// Stats holds the Client's counters.
 type Stats struct {
 	Dials                   uint64 // connections opened, probes included
-	Probes                  uint64 // questions after a silence
-	UnresponsiveConnections uint64 // connections dropped as silent
-	Crossed                 uint64 // replies dropped as another request's
-	HalfReplies             uint64 // replies dropped for their length or digest
+	Probes                  uint64 // health requests for calls that received no data
+	UnresponsiveConnections uint64 // connections closed after a failed probe
+	Crossed                 uint64 // replies with the ids of another request
+	HalfReplies             uint64 // replies with a wrong length or digest
 }
 
-// Client is the HTTP Runner. It never sends a call twice: each goes out on one
-// connection that the Client holds itself, so net/http has no way to retry.
+// Client is a Runner over HTTP/1.1. It manages its connections itself, because
+// net/http's transport may send a request twice.
 type Client struct {
 	options Options
 	scheme  string
 
-	mu      sync.Mutex
-	pools   map[string]*pool // by the server's address
-	sweeper *time.Timer      // of idle connections; nil until the first pool
+	mu        sync.Mutex
+	pools     map[string]*pool // by server address
+	idleTimer *time.Timer      // closes expired connections; nil before the first pool
 
-	dials, probes, silent, crossed, half atomic.Uint64
+	dials, probes, unresponsive, mismatchedReplies, corruptReplies atomic.Uint64
 }
 
 var _ Runner = (*Client)(nil)
 
-// NewClient makes a client without connections.
+// NewClient returns a client; it dials on demand.
 func NewClient(options Options) *Client {
 	options = options.withDefaults()
 	scheme := "http"
@@ -119,71 +118,69 @@
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (c *Client) Stats() Stats {
 	return Stats{
 		Dials:                   c.dials.Load(),
 		Probes:                  c.probes.Load(),
-		UnresponsiveConnections: c.silent.Load(),
-		Crossed:                 c.crossed.Load(),
-		HalfReplies:             c.half.Load(),
+		UnresponsiveConnections: c.unresponsive.Load(),
+		Crossed:                 c.mismatchedReplies.Load(),
+		HalfReplies:             c.corruptReplies.Load(),
 	}
 }
 
 // Run implements Runner.
 func (c *Client) Run(ctx context.Context, server Server, call Call) Attempt {
-	if end, ok := ctx.Deadline(); !ok || end.After(call.Deadline) {
+	if deadline, ok := ctx.Deadline(); !ok || deadline.After(call.Deadline) {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, call.Deadline)
 		defer cancel()
 	}
-	p, link, err := c.connect(ctx, server, call)
+	p, connection, err := c.connect(ctx, server, call)
 	if err != nil {
-		return unsent(err)
+		return connectFailure(err)
 	}
-	attempt, reusable := c.exchange(ctx, server, link, call)
+	attempt, reusable := c.exchange(ctx, server, connection, call)
 	if reusable {
-		link.keepFor = attempt.KeepFor
-		p.put(link, time.Now())
+		connection.keepAliveTimeout = attempt.KeepFor
+		p.put(connection, time.Now())
 		return attempt
 	}
-	link.drop()
-	p.forget()
+	connection.abort()
+	p.releaseSlot()
 	return attempt
 }
 
-// unsent classifies a failure to get a connection: no byte of the call left.
-func unsent(err error) Attempt {
-	if errors.Is(err, errNoConnection) {
+// connectFailure returns the result of a call for which no connection was available.
+func connectFailure(err error) Attempt {
+	if errors.Is(err, errConnectionLimit) {
 		return Attempt{Outcome: result.OutcomeUnsent, Fault: FaultConnectionLimit}
 	}
 	return Attempt{Outcome: result.OutcomeUnsent, Fault: FaultUnreachable}
 }
 
-// connect takes an idle connection or dials one.
-//
-// A call that is not idempotent takes only a connection that was in use a
-// moment ago: on one that went silent while idle it would end as unknown
-// though it never ran, and an unknown booking costs a person's time.
+// connect reuses an idle connection or dials one. A call that is not idempotent
+// reuses only a connection that was in use recently: if the connection died
+// while idle, the outcome of the call would be unknown.
 func (c *Client) connect(ctx context.Context, server Server, call Call) (*pool, *conn, error) {
-	fresh := c.options.IdleFor
+	maxIdle := c.options.IdleFor
 	if !call.Idempotent {
-		fresh = c.options.NonIdempotentIdleTimeout
+		maxIdle = c.options.NonIdempotentIdleTimeout
 	}
 	p := c.pool(server)
-	link, err := p.take(time.Now(), fresh, c.limit(server))
-	for errors.Is(err, errRetired) {
+	connection, err := p.get(time.Now(), maxIdle, c.limit(server))
+	for errors.Is(err, errPoolRemoved) {
 		p = c.pool(server)
-		link, err = p.take(time.Now(), fresh, c.limit(server))
+		connection, err = p.get(time.Now(), maxIdle, c.limit(server))
 	}
-	if link != nil || err != nil {
-		return p, link, err
+	if connection != nil || err != nil {
+		return p, connection, err
 	}
-	link, err = c.dial(ctx, server)
+	connection, err = c.dial(ctx, server)
 	if err != nil {
-		p.forget()
+		p.releaseSlot()
 	}
-	return p, link, err
+	return p, connection, err
 }
 
 func (c *Client) dial(ctx context.Context, server Server) (*conn, error) {
@@ -194,42 +191,41 @@
 }
 
 // exchange sends the call on the connection and reads its reply. reusable is
-// false when the connection must be dropped.
-func (c *Client) exchange(ctx context.Context, server Server, link *conn, call Call) (attempt Attempt, reusable bool) {
-	before := link.wire.mark()
-	watch := c.watchSilence(ctx, server, link, call)
+// false if the connection must be closed.
+func (c *Client) exchange(ctx context.Context, server Server, connection *conn, call Call) (attempt Attempt, reusable bool) {
+	before := connection.tcp.writeCount()
+	watch := c.watchReadIdle(ctx, server, connection, call)
 	defer watch.stop()
 	request := c.options.Protocol.Request(server, call)
 	request.URL.Scheme = c.scheme
 	request.URL.Host = server.Address
-	e, err := link.roundTrip(ctx, request)
+	e, err := connection.roundTrip(ctx, request)
 	if err != nil {
-		return sendFailure(ctx, watch, link.drop() != before), false
+		return sendFailure(ctx, watch, connection.abort() != before), false
 	}
 	attempt, reusable, err = c.options.Protocol.Read(e.response, call)
-	reusable = e.end() && reusable && err == nil
+	reusable = e.finish() && reusable && err == nil
 	return c.classify(ctx, watch, attempt, err), reusable
 }
 
-// classify counts replies that can't be believed, and says why one that is not
-// whole broke off.
-func (c *Client) classify(ctx context.Context, watch *silenceWatch, attempt Attempt, err error) Attempt {
+// classify counts invalid replies and determines the fault of an incomplete one.
+func (c *Client) classify(ctx context.Context, watch *readIdleWatch, attempt Attempt, err error) Attempt {
 	switch {
-	case err != nil && (watch.silent.Load() || ctx.Err() != nil):
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: brokenFault(ctx, watch)}
+	case err != nil && (watch.unresponsive.Load() || ctx.Err() != nil):
+		return Attempt{Outcome: result.OutcomeUnknown, Fault: incompleteFault(ctx, watch)}
 	case err != nil:
-		c.half.Add(1)
+		c.corruptReplies.Add(1)
 		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultHalfReply}
 	case attempt.Fault == FaultCrossed:
-		c.crossed.Add(1)
+		c.mismatchedReplies.Add(1)
 	}
 	return attempt
 }
 
-// sendFailure classifies a call that got no head of a reply. Only the proof
-// that no write was begun makes it unsent.
-func sendFailure(ctx context.Context, watch *silenceWatch, written bool) Attempt {
-	fault := brokenFault(ctx, watch)
+// sendFailure returns the result of a call that received no reply headers. It is
+// unsent only if no write to the connection was started.
+func sendFailure(ctx context.Context, watch *readIdleWatch, written bool) Attempt {
+	fault := incompleteFault(ctx, watch)
 	if !written {
 		if fault == FaultBroken {
 			fault = FaultUnreachable
@@ -239,15 +235,15 @@
 	return Attempt{Outcome: result.OutcomeUnknown, Fault: fault}
 }
 
-// brokenFault says why a connection with a call in flight gave no whole reply.
-func brokenFault(ctx context.Context, watch *silenceWatch) Fault {
+// incompleteFault returns why a call received no complete reply.
+func incompleteFault(ctx context.Context, watch *readIdleWatch) Fault {
 	switch {
-	case watch.silent.Load():
+	case watch.unresponsive.Load():
 		return FaultSilent
 	case !time.Now().Before(watch.call.Deadline):
-		// Asked of the clock, not of ctx: a server that gives up at the deadline
-		// can break the connection before our timer has fired, and must not
-		// look like one that died.
+		// Compares the time instead of checking ctx: a server that closes the
+		// connection at the deadline, before the timer of ctx fires, must not
+		// count as crashed.
 		return FaultDeadline
 	case ctx.Err() != nil:
 		return FaultCancelled
@@ -256,31 +252,30 @@
 	}
 }
 
-// Health asks the server for its load, state and snapshots, on a connection of
-// its own.
+// Health fetches the server's load, state and snapshots on a new connection.
 func (c *Client) Health(ctx context.Context, server Server) (Health, error) {
 	return c.health(ctx, server, nil)
 }
 
-func (c *Client) health(ctx context.Context, server Server, asked *Call) (Health, error) {
+func (c *Client) health(ctx context.Context, server Server, call *Call) (Health, error) {
 	var health Health
-	link, err := c.dial(ctx, server)
+	connection, err := c.dial(ctx, server)
 	if err != nil {
 		return health, errors.Wrapf(err, "health of %s", server.Name)
 	}
-	defer link.drop()
+	defer connection.abort()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.scheme+"://"+server.Address+PathHealth, nil)
 	if err != nil {
 		return health, errors.Wrapf(err, "health of %s", server.Name)
 	}
-	if asked != nil {
-		newHeaderWriter(request.Header, callHeaders).setEchoes(*asked)
+	if call != nil {
+		newHeaderWriter(request.Header, callHeaderCount).setIDs(*call)
 	}
-	e, err := link.roundTrip(ctx, request)
+	e, err := connection.roundTrip(ctx, request)
 	if err != nil {
 		return health, errors.Wrapf(err, "health of %s", server.Name)
 	}
-	defer e.end()
+	defer e.finish()
 	if e.response.StatusCode != http.StatusOK {
 		return health, errors.Errorf("health of %s: status %d", server.Name, e.response.StatusCode)
 	}
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -14,97 +14,93 @@
 )
 
 const (
-	// readBuffer holds the head and the body of most replies; writeBuffer a
-	// whole request without a body, so that it leaves in one write.
-	readBuffer  = 2 << 10
-	writeBuffer = 1 << 10
-	// longBody is the length from which a body is written beside the wait for
-	// the reply: it is more than a connection is sure to take at once.
-	longBody = 4 << 10
-	// maxInterim bounds the interim replies (1xx) before the one that counts.
-	maxInterim = 5
+	// readBufferBytes fits most replies, headers included. writeBufferBytes fits
+	// a request without a body, so that it is sent in one write.
+	readBufferBytes  = 2 << 10
+	writeBufferBytes = 1 << 10
+	// asyncBodyBytes is the length from which a body is written on a goroutine of
+	// its own: the write may block until the server reads.
+	asyncBodyBytes = 4 << 10
+	// maxInterimReplies limits the 1xx replies before the final one.
+	maxInterimReplies = 5
 )
 
-var errStray = errors.New("backend: bytes after the reply")
+var errUnexpectedData = errors.New("backend: unexpected data on an idle connection")
 
-// conn is one HTTP/1.1 connection; it carries one call at a time, on the
-// goroutine of the call. net/http's own client has two more goroutines for each
-// connection, and handing a call over to them and back took a fifth of a host's
-// processor time: 128 us a part of an answer with them, 102 us without, on one core.
+// conn is an HTTP/1.1 connection that carries one call at a time. The call's
+// goroutine reads and writes it, which avoids the cost of net/http's read and
+// write loops.
 type conn struct {
-	wire      *wireConn
-	stream    net.Conn // wire, or TLS over it
-	limited   io.LimitedReader
-	reader    *bufio.Reader
-	writer    *bufio.Writer
-	idleSince time.Time
-	keepFor   time.Duration // the server's word on idle connections; 0: none
+	tcp              *tcpConn
+	stream           net.Conn // tcp, or TLS over it
+	limited          io.LimitedReader
+	reader           *bufio.Reader
+	writer           *bufio.Writer
+	idleSince        time.Time
+	keepAliveTimeout time.Duration // how long the server keeps it idle; 0: unknown
 }
 
-// dial opens one connection outside of any pool; a nil config means plain text.
+// dial opens a connection; a nil config selects plain text.
 func dial(ctx context.Context, config *tls.Config, address string) (*conn, error) {
-	wire, err := dialWire(ctx, address)
+	tcp, err := dialTCP(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{wire: wire, stream: wire}
+	c := &conn{tcp: tcp, stream: tcp}
 	if config != nil {
 		config = config.Clone()
 		if config.ServerName == "" {
-			config.ServerName, _, _ = net.SplitHostPort(address) // dialled, so it has both
+			config.ServerName, _, _ = net.SplitHostPort(address) // valid: it was dialed
 		}
-		secured := tls.Client(wire, config)
+		secured := tls.Client(tcp, config)
 		if err := secured.HandshakeContext(ctx); err != nil {
-			_ = wire.Close()
+			_ = tcp.Close()
 			return nil, errors.Wrapf(err, "TLS with %s", address)
 		}
 		c.stream = secured
 	}
 	c.limited.R = c.stream
-	c.reader = bufio.NewReaderSize(&c.limited, readBuffer)
-	c.writer = bufio.NewWriterSize(c.stream, writeBuffer)
+	c.reader = bufio.NewReaderSize(&c.limited, readBufferBytes)
+	c.writer = bufio.NewWriterSize(c.stream, writeBufferBytes)
 	return c, nil
 }
 
-// exchange is a request on a connection and its reply.
+// exchange is a request that was sent on a connection, and its reply.
 type exchange struct {
-	conn     *conn
-	response *http.Response
-	body     *wholeBody  // of the response
-	stop     func() bool // the watch over the call's context
-	written  chan error  // the end of a body that is written beside; nil: none
+	conn       *conn
+	response   *http.Response
+	body       *eofBody    // body of response
+	stopCancel func() bool // stops closing the connection when ctx ends
+	writeDone  chan error  // result of a background write; nil: none
 }
 
-// roundTrip sends the request and reads the head of its reply. The connection
-// is closed when ctx ends first.
+// roundTrip sends the request and reads the headers of its reply. The connection
+// is closed if ctx ends first.
 func (c *conn) roundTrip(ctx context.Context, request *http.Request) (*exchange, error) {
 	e := &exchange{conn: c}
-	e.stop = context.AfterFunc(ctx, func() { c.wire.stop() })
+	e.stopCancel = context.AfterFunc(ctx, func() { c.tcp.abort() })
 	if err := e.send(request); err != nil {
-		e.stop()
+		e.stopCancel()
 		return nil, err
 	}
-	response, err := c.readHead(request)
+	response, err := c.readResponseHead(request)
 	if err != nil {
-		e.stop()
+		e.stopCancel()
 		return nil, err
 	}
-	e.response, e.body = response, &wholeBody{ReadCloser: response.Body}
+	e.response, e.body = response, &eofBody{ReadCloser: response.Body}
 	response.Body = e.body
 	return e, nil
 }
 
-// send writes the request, a long body beside the wait for the reply.
-//
-// Failure: a server answers before it has read a long body and reads on later.
-// A sender that waits for the end of its writing meanwhile never sees the
-// answer. The guard holds because such a body has a goroutine of its own.
+// send writes the request. A long body is written in the background, so that an
+// early reply is read although the server hasn't read the whole body.
 func (e *exchange) send(request *http.Request) error {
-	if request.ContentLength < longBody {
+	if request.ContentLength < asyncBodyBytes {
 		return e.conn.write(request)
 	}
-	e.written = make(chan error, 1)
-	go func() { e.written <- e.conn.write(request) }()
+	e.writeDone = make(chan error, 1)
+	go func() { e.writeDone <- e.conn.write(request) }()
 	return nil
 }
 
@@ -115,9 +111,9 @@
 	return c.writer.Flush()
 }
 
-// readHead reads the head of the reply, after interim ones.
-func (c *conn) readHead(request *http.Request) (*http.Response, error) {
-	for range maxInterim {
+// readResponseHead reads the headers of the reply and skips 1xx replies.
+func (c *conn) readResponseHead(request *http.Request) (*http.Response, error) {
+	for range maxInterimReplies {
 		c.limited.N = maxReplyHeaderBytes
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
@@ -128,69 +124,64 @@
 			return response, nil
 		}
 	}
-	return nil, errors.Errorf("backend: more than %d interim replies", maxInterim)
+	return nil, errors.Errorf("backend: more than %d interim replies", maxInterimReplies)
 }
 
-// maxReplyBodyBytes is above what any Protocol reads of one body.
+// maxReplyBodyBytes is more than any Protocol reads of a body.
 const maxReplyBodyBytes = 1 << 30
 
-// end reports whether the connection can carry another call: the reply was read
-// to its last byte, nothing came after it, and the whole request has left.
-func (e *exchange) end() bool {
-	open := e.stop() && e.body.ended
-	if e.written != nil {
+// finish reports whether the connection can be reused: the request was sent
+// completely, the reply was read to its end, and no data follows it.
+func (e *exchange) finish() bool {
+	open := e.stopCancel() && e.body.atEOF
+	if e.writeDone != nil {
 		select {
-		case err := <-e.written:
+		case err := <-e.writeDone:
 			open = open && err == nil
 		default:
-			return false // the server still owes reading the body
+			return false // the request body is still being sent
 		}
 	}
 	return open && e.conn.reader.Buffered() == 0
 }
 
-// wholeBody notes whether the body was read to its end. It is not closed: that
-// would wait for whatever the server has not sent yet.
-type wholeBody struct {
+// eofBody records whether the body was read to its end. It is never closed,
+// because Close would wait for the rest of the body.
+type eofBody struct {
 	io.ReadCloser
-	ended bool
+	atEOF bool
 }
 
 // Read implements io.Reader.
-func (b *wholeBody) Read(p []byte) (int, error) {
+func (b *eofBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.ended = b.ended || err == io.EOF
+	b.atEOF = b.atEOF || err == io.EOF
 	return n, err
 }
 
-// alive reports whether an idle connection can still be used: the server has
-// neither closed it nor sent anything on it.
-//
-// Failure: a server closes idle connections, or sends a second reply after a
-// whole one. The next call would end as unknown though it never ran, or take
-// the stray bytes for its reply. The guard holds because such bytes, and the end,
-// are seen by a look that does not wait; what comes later is the attempt's id to
-// tell.
+// alive reports whether an idle connection is usable: the server has neither
+// closed it nor sent data on it. Data that arrives later is detected by the
+// echoed ids.
 func (c *conn) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	err := c.wire.peek()
-	if errors.Is(err, errStray) && c.stream != net.Conn(c.wire) {
-		return true // TLS sends records of its own between replies
+	err := c.tcp.peek()
+	if errors.Is(err, errUnexpectedData) && c.stream != net.Conn(c.tcp) {
+		return true // may be a TLS record without application data
 	}
 	return err == nil
 }
 
-// peek reports the end of the connection or bytes that wait on it, without
-// taking them.
-func (c *wireConn) peek() error {
-	raw, err := c.raw()
+// peek returns an error if the connection is closed or has unread data. It
+// doesn't block and consumes nothing.
+func (c *tcpConn) peek() error {
+	rawConn, err := c.rawConn()
 	if err != nil {
 		return err
 	}
 	var found error
-	err = raw.Read(func(fd uintptr) bool {
+	err = rawConn.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
@@ -200,7 +191,7 @@
 		case n == 0:
 			found = io.EOF
 		default:
-			found = errStray
+			found = errUnexpectedData
 		}
 		return true
 	})
@@ -210,30 +201,27 @@
 	return found
 }
 
-func (c *wireConn) raw() (syscall.RawConn, error) {
+func (c *tcpConn) rawConn() (syscall.RawConn, error) {
 	withRaw, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("backend: the connection has no descriptor")
+		return nil, errors.New("backend: connection has no file descriptor")
 	}
 	return withRaw.SyscallConn()
 }
 
-// stale reports whether the connection was idle for longer than a call of that
-// freshness may find it, or than the server keeps it.
-//
-// Failure: a server closes an idle connection while a call is on its way; the
-// call ends as unknown though it never ran. The guard holds because the last
-// part of the time that the server states is left unused.
-func (c *conn) stale(now time.Time, fresh time.Duration) bool {
-	if c.keepFor > 0 {
-		fresh = min(fresh, c.keepFor-keepReserve)
+// idleTooLong reports whether the connection was idle for longer than maxIdle,
+// or is close to the server's idle timeout: a call sent as the server closes the
+// connection would have an unknown outcome.
+func (c *conn) idleTooLong(now time.Time, maxIdle time.Duration) bool {
+	if c.keepAliveTimeout > 0 {
+		maxIdle = min(maxIdle, c.keepAliveTimeout-keepAliveMargin)
 	}
-	return now.Sub(c.idleSince) > fresh
+	return now.Sub(c.idleSince) > maxIdle
 }
 
-// keepReserve is the part of a stated idle time that is left unused: a round
-// trip between regions and the lateness of a busy host's timers.
-const keepReserve = 400 * time.Millisecond
+// keepAliveMargin covers a round trip between regions and timer delays on a busy
+// host.
+const keepAliveMargin = 400 * time.Millisecond
 
-// drop closes the connection at once and reports how many writes it began.
-func (c *conn) drop() uint64 { return c.wire.stop() }
+// abort closes the connection and returns how many writes were started on it.
+func (c *conn) abort() uint64 { return c.tcp.abort() }
--- a/backend/metrics.go
+++ b/backend/metrics.go
@@ -5,11 +5,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// RegisterMetrics shows the client's counts on the registry.
+// RegisterMetrics registers the client's counters.
 func (c *Client) RegisterMetrics(registry prometheus.Registerer) error {
 	counters := []struct {
 		name, help string
-		of         func(Stats) uint64
+		value      func(Stats) uint64
 	}{
 		{"dials_total", "Connections opened to backend servers.", func(s Stats) uint64 { return s.Dials }},
 		{"probes_total", "Questions to backend servers after a silence.", func(s Stats) uint64 { return s.Probes }},
@@ -20,7 +20,7 @@
 	for _, counter := range counters {
 		collector := prometheus.NewCounterFunc(
 			prometheus.CounterOpts{Name: "goldcrestspan_backend_" + counter.name, Help: counter.help},
-			func() float64 { return float64(counter.of(c.Stats())) },
+			func() float64 { return float64(counter.value(c.Stats())) },
 		)
 		if err := registry.Register(collector); err != nil {
 			return errors.Wrap(err, "metrics of backend calls")
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -7,96 +7,93 @@
 	"github.com/pkg/errors"
 )
 
-// errNoConnection: the pool's share of the server's connection limit is used up.
-var errNoConnection = errors.New("backend: connection limit reached")
+var errConnectionLimit = errors.New("backend: connection limit reached")
 
 // pool holds the connections to one backend server.
 type pool struct {
 	mu      sync.Mutex
-	open    int     // idle, busy and being dialled
-	idle    []*conn // the one used last is at the end
-	retired bool    // out of the client's map: its places count no more
+	open    int     // idle, busy and being dialed
+	idle    []*conn // most recently used last
+	removed bool    // no longer in the client's map
 }
 
-// errRetired: the pool was emptied and removed; there is or will be another.
-var errRetired = errors.New("backend: pool is retired")
+// errPoolRemoved means that the caller must look the pool up again.
+var errPoolRemoved = errors.New("backend: pool was removed")
 
-// take returns the idle connection that was used last, if that was less than
-// fresh ago, or reserves a place to dial one (nil, nil).
-func (p *pool) take(now time.Time, fresh time.Duration, limit int) (*conn, error) {
+// get returns the most recently used idle connection unless it was idle for
+// longer than maxIdle. Without one it reserves a slot to dial and returns nil.
+func (p *pool) get(now time.Time, maxIdle time.Duration, limit int) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.retired {
-		return nil, errRetired
+	if p.removed {
+		return nil, errPoolRemoved
 	}
-	if c := p.lastIdle(now, fresh); c != nil {
+	if c := p.newestIdle(now, maxIdle); c != nil {
 		return c, nil
 	}
 	if p.open >= limit && len(p.idle) > 0 {
-		p.dropIdle(1) // too old for this call: its place is worth more
+		p.closeOldestIdle(1) // too old for this call; free its slot
 	}
 	if p.open >= limit {
-		return nil, errNoConnection
+		return nil, errConnectionLimit
 	}
 	p.open++
 	return nil, nil
 }
 
-// lastIdle takes the connection used last off the idle ones; the lock is held.
-func (p *pool) lastIdle(now time.Time, fresh time.Duration) *conn {
+// newestIdle removes and returns the most recently used live idle connection.
+// p.mu must be held.
+func (p *pool) newestIdle(now time.Time, maxIdle time.Duration) *conn {
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
 		c := p.idle[last]
 		alive := c.alive()
-		if alive && c.stale(now, fresh) {
-			return nil // the others are older still
+		if alive && c.idleTooLong(now, maxIdle) {
+			return nil // the others have been idle for longer
 		}
 		p.idle = p.idle[:last]
 		if alive {
 			return c
 		}
 		p.open--
-		c.drop()
+		c.abort()
 	}
 	return nil
 }
 
-// dropIdle drops the n connections that were idle for longest; the lock is held.
-func (p *pool) dropIdle(n int) {
+// closeOldestIdle closes the n connections that were idle longest. p.mu must be held.
+func (p *pool) closeOldestIdle(n int) {
 	for _, c := range p.idle[:n] {
-		c.drop()
+		c.abort()
 	}
 	p.open -= n
 	p.idle = append(p.idle[:0], p.idle[n:]...)
 }
 
-// expire drops connections that were idle for longer than maxIdle. It retires
-// the pool and reports true if nothing is left in it.
-//
-// Failure: a host that is no longer the home of a server keeps the idle
-// connections of its busy time, and the new home meets the server's connection
-// limit while nobody uses them. The guard holds because expiry needs no call:
-// a timer of the Client comes by.
-func (p *pool) expire(now time.Time, maxIdle time.Duration) (empty bool) {
+// closeExpired closes connections that were idle for longer than maxIdle. If none
+// are left open it marks the pool as removed and returns true. Without it, a host
+// that is no longer a server's home would keep connections that the new home
+// needs under the server's connection limit.
+func (p *pool) closeExpired(now time.Time, maxIdle time.Duration) (empty bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	expired := 0
 	for expired < len(p.idle) && now.Sub(p.idle[expired].idleSince) > maxIdle {
 		expired++
 	}
-	p.dropIdle(expired)
-	p.retired = p.open == 0
-	return p.retired
+	p.closeOldestIdle(expired)
+	p.removed = p.open == 0
+	return p.removed
 }
 
-// trim drops idle connections until at most keep are open.
+// trim closes idle connections until at most keep connections are open.
 func (p *pool) trim(keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropIdle(min(len(p.idle), max(0, p.open-keep)))
+	p.closeOldestIdle(min(len(p.idle), max(0, p.open-keep)))
 }
 
-// put gives a healthy connection back.
+// put returns a reusable connection to the pool.
 func (p *pool) put(c *conn, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,15 +101,15 @@
 	p.idle = append(p.idle, c)
 }
 
-// forget gives back the place of a connection that is closed or was not made.
-func (p *pool) forget() {
+// releaseSlot frees the slot of a connection that was closed or not opened.
+func (p *pool) releaseSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// size returns the open connections.
-func (p *pool) size() int {
+// openCount returns the number of open connections.
+func (p *pool) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/backend/pools.go
+++ b/backend/pools.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Connections returns the open connections to the server, busy ones included.
+// Connections returns the number of open connections to the server, idle and
+// busy.
 func (c *Client) Connections(server Server) int {
 	c.mu.Lock()
 	p := c.pools[server.Address]
@@ -10,12 +11,11 @@
 	if p == nil {
 		return 0
 	}
-	return p.size()
+	return p.openCount()
 }
 
-// Trim drops idle connections to the server until at most keep are open: for a
-// host that is no longer the server's home, and with keep 0 for a server that
-// has left. Calls in flight go on.
+// Trim closes idle connections to the server until at most keep connections are
+// open. Calls in flight continue.
 func (c *Client) Trim(server Server, keep int) {
 	c.mu.Lock()
 	p := c.pools[server.Address]
@@ -25,12 +25,12 @@
 	}
 }
 
-// Close drops the idle connections; calls in flight go on.
+// Close closes the idle connections. Calls in flight continue.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sweeper != nil {
-		c.sweeper.Stop()
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
 	}
 	for _, p := range c.pools {
 		p.trim(0)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// pool returns the pool of the server's connections.
+// pool returns the server's connection pool and creates it if necessary.
 func (c *Client) pool(server Server) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,29 +47,29 @@
 		p = &pool{}
 		c.pools[server.Address] = p
 		if len(c.pools) == 1 {
-			c.sweeper = time.AfterFunc(c.options.IdleFor/2, c.sweep)
+			c.idleTimer = time.AfterFunc(c.options.IdleFor/2, c.closeExpiredIdle)
 		}
 	}
 	return p
 }
 
-// sweep drops connections that were idle for too long, and pools without any;
-// it comes again while there are pools.
-func (c *Client) sweep() {
+// closeExpiredIdle closes connections that were idle for too long and removes
+// empty pools. It reschedules itself while pools are left.
+func (c *Client) closeExpiredIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for address, p := range c.pools {
-		if p.expire(now, c.options.IdleFor) {
+		if p.closeExpired(now, c.options.IdleFor) {
 			delete(c.pools, address)
 		}
 	}
 	if len(c.pools) > 0 {
-		c.sweeper.Reset(c.options.IdleFor / 2)
+		c.idleTimer.Reset(c.options.IdleFor / 2)
 	}
 }
 
-// limit is this host's share of the server's connection limit.
+// limit returns this host's share of the server's connection limit.
 func (c *Client) limit(server Server) int {
 	if c.options.Limit == nil {
 		return c.options.ConnectionsPerServer
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -13,19 +13,18 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// Protocol is what backend servers speak over HTTP/1.1: how a call is put into
-// a request and what a reply says. The Client has the connections, deadlines
-// and the proof of what was sent.
+// Protocol encodes calls as HTTP/1.1 requests and decodes the replies. The Client
+// manages connections and deadlines and tracks what was sent.
 type Protocol interface {
-	// Request makes the HTTP request of an attempt; the Client adds scheme,
-	// address and context. Its Deadline is already bounded by the caller's.
+	// Request returns the HTTP request of a call; the Client sets its scheme and
+	// address.
 	Request(server Server, call Call) *http.Request
-	// Read takes a reply in, to its last byte. reusable is false when the
-	// connection must be dropped. An error says that the reply was not whole.
+	// Read reads a reply to its end. reusable is false if the connection must be
+	// closed. It returns an error if the reply is incomplete or corrupt.
 	Read(response *http.Response, call Call) (attempt Attempt, reusable bool, err error)
 }
 
-// nativeProtocol is the product's own.
+// nativeProtocol is the protocol of PathRun and the Gcs headers.
 type nativeProtocol struct {
 	maxReplyBytes int64
 }
@@ -38,7 +37,7 @@
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		Header:        make(http.Header, callHeaders),
+		Header:        make(http.Header, callHeaderCount),
 		Body:          io.NopCloser(bytes.NewReader(call.Body)),
 		ContentLength: int64(len(call.Body)),
 		Host:          server.Address,
@@ -50,90 +49,88 @@
 	return request
 }
 
-// Read implements Protocol: it checks a reply from its head to its last byte.
+// Read implements Protocol.
 func (p nativeProtocol) Read(response *http.Response, call Call) (Attempt, bool, error) {
-	if !echoed(response.Header, call) {
+	if !echoesMatch(response.Header, call) {
 		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultCrossed}, false, nil
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
 		return p.readAnswer(response, call)
-	case statusRefusedNotRun:
+	case statusRefused:
 		attempt, reusable := readRefusal(response)
 		return attempt, reusable, nil
-	case statusServerFailed:
-		return Attempt{Outcome: result.OutcomeRan, Fault: FaultServer, Reply: replyHead(response)}, discard(response), nil
+	case statusFailed:
+		return Attempt{Outcome: result.OutcomeRan, Fault: FaultServer, Reply: replyFromHeaders(response)}, discard(response), nil
 	default:
 		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultBroken}, false, nil
 	}
 }
 
-// readRefusal believes a 503 only with the server's explicit word. A bare 503
-// may come from something between the two ends after the work was passed on.
+// readRefusal reads a 503 reply. It counts as not run only with HeaderNotRun: an
+// intermediary may send a 503 after it forwarded the request.
 func readRefusal(response *http.Response) (Attempt, bool) {
 	reason := NotRunReason(response.Header.Get(HeaderNotRun))
 	fault, known := notRunFaults[reason]
 	if !known {
 		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultBroken}, false
 	}
-	wait, _ := strconv.ParseInt(response.Header.Get(HeaderRetryAfterNs), 10, 64)
+	retryAfterNs, _ := strconv.ParseInt(response.Header.Get(HeaderRetryAfterNs), 10, 64)
 	return Attempt{
 		Outcome:    result.OutcomeRefused,
 		Fault:      fault,
-		Reply:      replyHead(response),
-		RetryAfter: max(0, time.Duration(wait)),
+		Reply:      replyFromHeaders(response),
+		RetryAfter: max(0, time.Duration(retryAfterNs)),
 	}, discard(response)
 }
 
-// discard reads a short body, which frees the connection for the next call.
+// discard reads a short body and reports whether the connection can be reused.
 func discard(response *http.Response) bool {
-	_, err := io.CopyN(io.Discard, response.Body, discardedRefusalBody)
+	_, err := io.CopyN(io.Discard, response.Body, maxDiscardBytes)
 	return errors.Is(err, io.EOF)
 }
 
-func replyHead(response *http.Response) Reply {
+func replyFromHeaders(response *http.Response) Reply {
 	incarnation, _ := strconv.ParseUint(response.Header.Get(HeaderIncarnation), 10, 64)
 	return Reply{
 		Load:        readLoad(response.Header),
 		Incarnation: incarnation,
-		Held:        readVersions(response.Header.Get(HeaderHeld)),
+		Held:        parseVersions(response.Header.Get(HeaderHeld)),
 	}
 }
 
-// readAnswer takes a body only if its length, its digest and its snapshot are
-// the ones announced and asked for: a connection that breaks half-way would
-// otherwise pass off half an answer as a whole one.
+// readAnswer reads the body and verifies its length, digest and snapshot.
 func (p nativeProtocol) readAnswer(response *http.Response, call Call) (Attempt, bool, error) {
-	body, err := readWhole(response, p.maxReplyBytes)
+	body, err := readFullBody(response, p.maxReplyBytes)
 	if err != nil {
 		return Attempt{}, false, err
 	}
 	if response.Header.Get(HeaderDigest) != Digest(body) {
-		return Attempt{}, false, errors.New("the body does not match its digest")
+		return Attempt{}, false, errors.New("the body doesn't match its digest")
 	}
-	reply := replyHead(response)
+	reply := replyFromHeaders(response)
 	reply.Body = body
-	answered, err := strconv.ParseUint(response.Header.Get(HeaderSnapshot), 10, 64)
-	if err != nil || answered != uint64(call.Snapshot) {
+	replySnapshot, err := strconv.ParseUint(response.Header.Get(HeaderSnapshot), 10, 64)
+	if err != nil || replySnapshot != uint64(call.Snapshot) {
 		return Attempt{Outcome: result.OutcomeRan, Fault: FaultSnapshotMismatch, Reply: Reply{Load: reply.Load, Incarnation: reply.Incarnation}}, true, nil
 	}
 	reply.Snapshot = call.Snapshot
 	return Attempt{Outcome: result.OutcomeRan, Fault: FaultNone, Reply: reply}, true, nil
 }
 
-// readWhole reads a body of the announced length, and its end, which frees the
-// connection for the next call.
-func readWhole(response *http.Response, limit int64) ([]byte, error) {
+// readFullBody reads a body of the length in Content-Length to its end, so that
+// the connection can be reused.
+func readFullBody(response *http.Response, limit int64) ([]byte, error) {
 	if response.ContentLength < 0 || response.ContentLength > limit {
-		return nil, errors.Errorf("length %d is unknown or over the limit", response.ContentLength)
+		return nil, errors.Errorf("content length %d is unknown or exceeds the limit", response.ContentLength)
 	}
 	body := make([]byte, response.ContentLength)
 	if _, err := io.ReadFull(response.Body, body); err != nil {
 		return nil, err
 	}
-	var end [1]byte
-	if _, err := response.Body.Read(end[:]); err != io.EOF {
-		return nil, errors.New("the body is longer than announced")
+	var extra [1]byte
+	if _, err := response.Body.Read(extra[:]); err != io.EOF {
+		return nil, errors.New("the body is longer than its content length")
 	}
 	return body, nil
 }
--- a/backend/wire.go
+++ b/backend/wire.go
@@ -18,8 +18,8 @@
 	PathHealth = "/v1/health"
 )
 
-// Headers of the HTTP interface of backend servers. Requests carry the first
-// block, replies the second; the echoes are in both.
+// Headers of the HTTP interface of backend servers. The first group is in requests
+// and replies, the second in requests and the third in replies.
 const (
 	HeaderRequest  = "Gcs-Request-Id"
 	HeaderAttempt  = "Gcs-Attempt-Id"
@@ -29,34 +29,34 @@
 	HeaderService = "Gcs-Service"
 	HeaderIndex   = "Gcs-Index"
 	HeaderClass   = "Gcs-Class"
-	// HeaderDeadlineIn is the time left at sending, in nanoseconds: the clocks
-	// of the two ends may differ.
+	// HeaderDeadlineIn is the time left until the deadline, in nanoseconds. It is
+	// relative because the clocks of host and server may differ.
 	HeaderDeadlineIn = "Gcs-Deadline-In-Ns"
 	HeaderIdempotent = "Gcs-Idempotent"
-	// HeaderCancelOnClose says whether closing the connection cancels the run.
-	// It does for idempotent calls; a booking that began is let finish.
+	// HeaderCancelOnClose says whether the server cancels the call when the
+	// connection closes. It is true for idempotent calls only.
 	HeaderCancelOnClose = "Gcs-Cancel-On-Close"
 
 	HeaderIncarnation = "Gcs-Incarnation"
-	// HeaderDigest is the xxhash64 of the reply's body, 16 hexadecimal digits.
+	// HeaderDigest is the xxhash64 of the reply's body as 16 hexadecimal digits.
 	HeaderDigest      = "Gcs-Body-Xxhash64"
 	HeaderLoadRunning = "Gcs-Load-Running"
 	HeaderLoadQueued  = "Gcs-Load-Queued"
 	HeaderLoadSlots   = "Gcs-Load-Slots"
 	HeaderDraining    = "Gcs-Draining"
-	// HeaderHeld lists the snapshots of the call's index that the server
-	// holds, with commas, so that hosts learn of a new one from traffic.
+	// HeaderHeld lists the snapshots of the call's index that the server holds,
+	// separated by commas.
 	HeaderHeld         = "Gcs-Held"
 	HeaderRetryAfterNs = "Gcs-Retry-After-Ns"
-	// HeaderNotRun is on a 503 only, and is the server's word that it did not
-	// start the work. Its value is a NotRunReason.
+	// HeaderNotRun in a 503 reply confirms that the server did not start the
+	// call. Its value is a NotRunReason.
 	HeaderNotRun = "Gcs-Not-Run"
 )
 
-// NotRunReason is why a backend server did not start the work.
+// NotRunReason is why a backend server did not start a call.
 type NotRunReason string
 
-// The reasons of a refusal before run.
+// The reasons for refusing a call before it runs.
 const (
 	NotRunShed        NotRunReason = "shed"
 	NotRunDraining    NotRunReason = "draining"
@@ -73,27 +73,27 @@
 	NotRunDeadline:    FaultDeadline,
 }
 
-// RunState is what a backend server knows of one attempt.
+// RunState is the state of an attempt at a backend server.
 type RunState string
 
-// The states of an attempt at a server.
+// The states of an attempt.
 const (
-	RunStateRunning RunState = "running" // waiting or in service
-	RunStateAbsent  RunState = "absent"  // never seen, or ended
+	RunStateRunning RunState = "running" // queued or in service
+	RunStateAbsent  RunState = "absent"  // unknown or ended
 )
 
-// Health is the body of PathHealth. It lags and can mislead.
+// Health is the reply body of PathHealth. It may be outdated or wrong.
 type Health struct {
 	Incarnation uint64 `json:"incarnation"`
 	Load        Load   `json:"load"`
-	// Held lists the snapshots that the server holds, by index.
+	// Held lists the snapshots that the server holds by index.
 	Held map[string][]snapshot.Version `json:"held"`
-	// Attempt answers a question about one attempt, asked with HeaderRequest
-	// and HeaderAttempt; empty when none was asked.
+	// Attempt is the state of the attempt named by HeaderRequest and
+	// HeaderAttempt; empty if the request named none.
 	Attempt RunState `json:"attempt,omitempty"`
 }
 
-// Digest is the digest of a reply's body as HeaderDigest carries it.
+// Digest returns the digest of a body in the format of HeaderDigest.
 func Digest(body []byte) string {
 	const hexDigits, bits = "0123456789abcdef", 64
 	sum := xxhash.Sum64(body)
@@ -104,14 +104,14 @@
 	return string(out[:])
 }
 
-// callHeaders and replyHeaders are how many headers a call and a reply have.
+// Number of headers that SetCallHeaders and SetReplyHeaders set.
 const (
-	callHeaders  = 11
-	replyHeaders = 12
+	callHeaderCount  = 11
+	replyHeaderCount = 12
 )
 
-// headerWriter sets headers whose keys are in canonical form already. All
-// values share one array, which saves an allocation for each.
+// headerWriter sets headers whose keys are in canonical form. The values share one
+// array to save allocations.
 type headerWriter struct {
 	header http.Header
 	values []string
@@ -129,17 +129,16 @@
 
 func (w *headerWriter) setNumber(key string, n uint64) { w.set(key, strconv.FormatUint(n, 10)) }
 
-func (w *headerWriter) setEchoes(call Call) {
+func (w *headerWriter) setIDs(call Call) {
 	w.set(HeaderRequest, call.Request.String())
 	w.setNumber(HeaderAttempt, uint64(call.Attempt))
 	w.setNumber(HeaderShard, uint64(call.Shard))
 }
 
-// SetCallHeaders writes the request's side of the wire; left is the time until
-// the call's deadline.
+// SetCallHeaders sets the headers of a call; left is the time until its deadline.
 func SetCallHeaders(h http.Header, call Call, left time.Duration) {
-	w := newHeaderWriter(h, callHeaders)
-	w.setEchoes(call)
+	w := newHeaderWriter(h, callHeaderCount)
+	w.setIDs(call)
 	w.setNumber(HeaderSnapshot, uint64(call.Snapshot))
 	w.set(HeaderService, call.Service)
 	w.set(HeaderIndex, call.Index)
@@ -150,15 +149,15 @@
 	w.set("Content-Type", "application/json")
 }
 
-// ReadCall reads the headers of a request to PathRun, for servers; the body
-// and the deadline are left to the caller. now is added to the time left.
+// ReadCall parses the headers of a request to PathRun, for servers. The deadline
+// of the call is relative to now. The body is not read.
 func ReadCall(h http.Header, now time.Time) (Call, error) {
 	var call Call
 	var err error
 	if call.Request, err = ident.ParseRequestID(h.Get(HeaderRequest)); err != nil {
 		return call, err
 	}
-	numbers := fields{header: h}
+	numbers := numberReader{header: h}
 	call.Attempt = ident.AttemptID(numbers.read(HeaderAttempt))
 	call.Shard = snapshot.ShardID(numbers.read(HeaderShard))
 	call.Snapshot = snapshot.Version(numbers.read(HeaderSnapshot))
@@ -170,13 +169,13 @@
 	return call, numbers.err
 }
 
-// fields reads numeric headers and keeps the first error.
-type fields struct {
+// numberReader parses numeric headers and keeps the first error.
+type numberReader struct {
 	header http.Header
 	err    error
 }
 
-func (f *fields) read(key string) uint64 {
+func (f *numberReader) read(key string) uint64 {
 	n, err := strconv.ParseUint(f.header.Get(key), 10, 64)
 	if err != nil && f.err == nil {
 		f.err = err
@@ -184,7 +183,7 @@
 	return n
 }
 
-// readLoad reads the server's load from a reply; absent numbers read as zero.
+// readLoad parses the server's load; missing or invalid numbers read as zero.
 func readLoad(h http.Header) Load {
 	return Load{
 		Running:  readCount(h, HeaderLoadRunning),
@@ -202,49 +201,48 @@
 	return n
 }
 
-// echoed reports whether the reply names the call's request and attempt. A
-// reply that names others is crossed: even its "not run" proves nothing.
-func echoed(h http.Header, call Call) bool {
+// echoesMatch reports whether the reply echoes the ids of the call. Nothing in a
+// reply to another call is valid, not even HeaderNotRun.
+func echoesMatch(h http.Header, call Call) bool {
 	return h.Get(HeaderRequest) == call.Request.String() &&
 		h.Get(HeaderAttempt) == strconv.FormatUint(uint64(call.Attempt), 10) &&
 		h.Get(HeaderShard) == strconv.FormatUint(uint64(call.Shard), 10)
 }
 
-// SetReplyHeaders writes the reply's side of the wire, for servers.
-// reply.Snapshot is the one that the body comes from.
+// SetReplyHeaders sets the headers of a reply, for servers. reply.Snapshot is the
+// snapshot that the body was read from.
 func SetReplyHeaders(h http.Header, call Call, reply Reply) {
-	w := newHeaderWriter(h, replyHeaders)
-	w.setEchoes(call)
+	w := newHeaderWriter(h, replyHeaderCount)
+	w.setIDs(call)
 	w.setNumber(HeaderSnapshot, uint64(reply.Snapshot))
 	w.setNumber(HeaderIncarnation, reply.Incarnation)
 	w.set(HeaderLoadRunning, strconv.Itoa(reply.Load.Running))
 	w.set(HeaderLoadQueued, strconv.Itoa(reply.Load.Queued))
 	w.set(HeaderLoadSlots, strconv.Itoa(reply.Load.Slots))
 	w.set(HeaderDraining, strconv.FormatBool(reply.Load.Draining))
-	w.set(HeaderHeld, writeVersions(reply.Held))
+	w.set(HeaderHeld, formatVersions(reply.Held))
 	w.set(HeaderDigest, Digest(reply.Body))
 	w.set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.set("Content-Type", "application/json")
 }
 
-func writeVersions(versions []snapshot.Version) string {
-	words := make([]string, len(versions))
+func formatVersions(versions []snapshot.Version) string {
+	numbers := make([]string, len(versions))
 	for i, version := range versions {
-		words[i] = strconv.FormatUint(uint64(version), 10)
+		numbers[i] = strconv.FormatUint(uint64(version), 10)
 	}
-	return strings.Join(words, ",")
+	return strings.Join(numbers, ",")
 }
 
-// readVersions reads the held snapshots; a server that says nothing, or
-// something else, is taken to have said nothing.
-func readVersions(text string) []snapshot.Version {
+// parseVersions parses a list of held snapshots; nil if it is empty or invalid.
+func parseVersions(text string) []snapshot.Version {
 	if text == "" {
 		return nil
 	}
-	words := strings.Split(text, ",")
-	versions := make([]snapshot.Version, len(words))
-	for i, word := range words {
-		version, err := strconv.ParseUint(word, 10, 64)
+	numbers := strings.Split(text, ",")
+	versions := make([]snapshot.Version, len(numbers))
+	for i, number := range numbers {
+		version, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
 			return nil
 		}
