--- a/standin/backend_faults.go
+++ b/standin/backend_faults.go
@@ -21,8 +21,8 @@
 type BackendFaults struct {
 	// Slow multiplies the service time; 0 and 1: none.
 	Slow float64 `json:"slow"`
-	// LateBy holds each finished reply back.
-	LateBy time.Duration `json:"late_by_ns"`
+	// ReplyDelay holds each finished reply back.
+	ReplyDelay time.Duration `json:"late_by_ns"`
 	// HalfReplies breaks the connection in the middle of the body.
 	HalfReplies int `json:"half_replies"`
 	// CorruptReplies changes a byte of the body but not its digest.
@@ -33,16 +33,16 @@
 	LostReplies int `json:"lost_replies"`
 	// FailedReplies runs the work and answers that it failed.
 	FailedReplies int `json:"failed_replies"`
-	// ShedNext refuses before run.
-	ShedNext int `json:"shed_next"`
-	// BareRefusals answers 503 without a word on whether it ran, and runs it.
-	BareRefusals int `json:"bare_refusals"`
-	// AnswerFrom answers from this snapshot, whatever was asked; 0: as asked.
-	AnswerFrom snapshot.Version `json:"answer_from"`
+	// ShedCalls refuses before run.
+	ShedCalls int `json:"shed_next"`
+	// Unmarked503s answers 503 without a word on whether it ran, and runs it.
+	Unmarked503s int `json:"bare_refusals"`
+	// AnswerSnapshot answers from this snapshot, whatever was asked; 0: as asked.
+	AnswerSnapshot snapshot.Version `json:"answer_from"`
 	// LoadLag makes load reports old by this much.
 	LoadLag time.Duration `json:"load_lag_ns"`
-	// LoadLie replaces the load reports.
-	LoadLie *backend.Load `json:"load_lie,omitempty"`
+	// LoadOverride replaces the load reports.
+	LoadOverride *backend.Load `json:"load_lie,omitempty"`
 	// DrainUntold refuses nothing and says nothing while draining.
 	DrainUntold bool `json:"drain_untold"`
 }
--- a/standin/content.go
+++ b/standin/content.go
@@ -17,8 +17,8 @@
 	Shard    snapshot.ShardID `json:"shard"`
 	// Request is the digest of the request's body.
 	Request string `json:"request"`
-	// Proof is the digest of the fields above: half or mixed content fails it.
-	Proof string `json:"proof"`
+	// Checksum is the digest of the fields above: half or mixed content fails it.
+	Checksum string `json:"proof"`
 }
 
 // ShardBody is the one right answer of a shard: a checker that knows the
@@ -29,7 +29,7 @@
 	if err != nil {
 		panic(err) // strings and numbers always marshal
 	}
-	content.Proof = backend.Digest(unproved)
+	content.Checksum = backend.Digest(unproved)
 	body, err := json.Marshal(content)
 	if err != nil {
 		panic(err)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -21,8 +21,8 @@
 type PlatformFaults struct {
 	// Down refuses every call of the object API; nothing takes effect.
 	Down bool `json:"down"`
-	// HostsDown refuses every call of the host list.
-	HostsDown bool `json:"hosts_down"`
+	// HostListDown refuses every call of the host list.
+	HostListDown bool `json:"hosts_down"`
 	// Delay holds every call back before it takes effect.
 	Delay time.Duration `json:"delay_ns"`
 	// ReadLag makes gets, lists and watches see the state of that long ago.
@@ -314,7 +314,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls.Hosts++
-	if p.faults.HostsDown {
+	if p.faults.HostListDown {
 		return nil, metastore.ErrUnavailable
 	}
 	if p.faults.HostsEmpty {
--- a/testbed/check.go
+++ b/testbed/check.go
@@ -27,13 +27,13 @@
 
 // The promises that a Checker checks.
 const (
-	PromiseSnapshot = "one index snapshot per answer"
-	PromiseCoverage = "coverage stated truly"
-	PromiseWhole    = "the whole answer, to its caller"
-	PromiseNotRun   = "not run means nowhere"
-	PromiseOnce     = "a booking at most once"
-	PromiseLeaving  = "no new work for a leaving server"
-	PromiseRising   = "an accepted configuration never reverts"
+	GuaranteeOneSnapshot         = "one index snapshot per answer"
+	GuaranteeCoverage            = "coverage stated truly"
+	GuaranteeCompleteAnswer      = "the whole answer, to its caller"
+	GuaranteeNotRun              = "not run means nowhere"
+	GuaranteeAtMostOnce          = "a booking at most once"
+	GuaranteeNoNewWork           = "no new work for a leaving server"
+	GuaranteeMonotonicGeneration = "an accepted configuration never reverts"
 )
 
 // Checker compares what callers were told with what the stand-ins ran. It is
@@ -110,10 +110,10 @@
 	parts := len(reply.Shards)
 	said := reply.Coverage
 	if said.Have != parts || said.Total != total || said.Complete != (parts == total) {
-		c.add(PromiseCoverage, reply.RequestID, fmt.Sprintf("says %d of %d, complete %t; has %d of %d", said.Have, said.Total, said.Complete, parts, total))
+		c.add(GuaranteeCoverage, reply.RequestID, fmt.Sprintf("says %d of %d, complete %t; has %d of %d", said.Have, said.Total, said.Complete, parts, total))
 	}
 	if (reply.Code == result.Complete) != (parts == total) {
-		c.add(PromiseCoverage, reply.RequestID, fmt.Sprintf("code %s with %d of %d", reply.Name, parts, total))
+		c.add(GuaranteeCoverage, reply.RequestID, fmt.Sprintf("code %s with %d of %d", reply.Name, parts, total))
 	}
 }
 
@@ -121,16 +121,16 @@
 	seen := make(map[snapshot.ShardID]bool)
 	for _, part := range reply.Shards {
 		if seen[part.Shard] {
-			c.add(PromiseWhole, reply.RequestID, fmt.Sprintf("shard %d twice", part.Shard))
+			c.add(GuaranteeCompleteAnswer, reply.RequestID, fmt.Sprintf("shard %d twice", part.Shard))
 		}
 		seen[part.Shard] = true
 		want := standin.ShardBody(reply.Snapshot.Index, reply.Snapshot.Version, part.Shard, request)
 		if bytes.Equal(part.Body, want) {
 			continue
 		}
-		promise := PromiseWhole
+		promise := GuaranteeCompleteAnswer
 		if bytes.Contains(part.Body, []byte(`"snapshot":`)) && !bytes.Contains(part.Body, fmt.Appendf(nil, `"snapshot":%d,`, reply.Snapshot.Version)) {
-			promise = PromiseSnapshot
+			promise = GuaranteeOneSnapshot
 		}
 		c.add(promise, reply.RequestID, fmt.Sprintf("shard %d: got %s", part.Shard, part.Body))
 	}
@@ -147,7 +147,7 @@
 	defer c.mu.Unlock()
 	for _, id := range c.notRun {
 		if runs := c.record.Of(id); len(runs) > 0 {
-			c.add(PromiseNotRun, id.String(), fmt.Sprintf("ran on %s", runs[0].Server))
+			c.add(GuaranteeNotRun, id.String(), fmt.Sprintf("ran on %s", runs[0].Server))
 		}
 	}
 	runs := c.record.Runs()
@@ -160,7 +160,7 @@
 	}
 	for body, runs := range times {
 		if len(runs) > 1 && c.bookings[body] {
-			c.add(PromiseOnce, runs[1].RequestText, fmt.Sprintf("ran %d times, on %s and %s", len(runs), runs[0].Server, runs[1].Server))
+			c.add(GuaranteeAtMostOnce, runs[1].RequestText, fmt.Sprintf("ran %d times, on %s and %s", len(runs), runs[0].Server, runs[1].Server))
 		}
 	}
 	return c.broken, c.checked
--- a/testbed/check_fleet.go
+++ b/testbed/check_fleet.go
@@ -25,7 +25,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if generation < c.highest[host] {
-		c.add(PromiseRising, "-", fmt.Sprintf("%s went from generation %d back to %d", host, c.highest[host], generation))
+		c.add(GuaranteeMonotonicGeneration, "-", fmt.Sprintf("%s went from generation %d back to %d", host, c.highest[host], generation))
 	}
 	c.highest[host] = max(c.highest[host], generation)
 }
@@ -37,6 +37,6 @@
 			continue
 		}
 		late := run.Started.Sub(at).Round(time.Millisecond)
-		c.add(PromiseLeaving, run.RequestText, fmt.Sprintf("%s got work %s after it was announced as leaving", run.Server, late))
+		c.add(GuaranteeNoNewWork, run.RequestText, fmt.Sprintf("%s got work %s after it was announced as leaving", run.Server, late))
 	}
 }
--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -209,7 +209,7 @@
 func (b *Bed) publishAll() error {
 	for _, group := range b.config.Groups {
 		if b.config.Holds {
-			b.HoldAll(group.Index, 1)
+			b.AddSnapshotToAll(group.Index, 1)
 		}
 		if err := b.Publish(b.ShardMap(group.Index, 1)); err != nil {
 			return err
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// HoldAll makes all servers hold a snapshot.
-func (b *Bed) HoldAll(index string, version snapshot.Version) {
+// AddSnapshotToAll makes all servers hold a snapshot.
+func (b *Bed) AddSnapshotToAll(index string, version snapshot.Version) {
 	for _, standIn := range b.Backends {
 		standIn.Hold(index, version)
 	}
