--- a/standin/backend_faults.go
+++ b/standin/backend_faults.go
@@ -9,41 +9,40 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Paths of the stand-ins' own control interface.
+// Paths of the control interface of the stand-ins.
 const (
 	PathControl = "/control"
 	PathRecord  = "/control/record"
 )
 
-// BackendFaults is what is wrong with a backend server. The counts are of the
-// next replies and go down as they are used. Durations are in nanoseconds on
-// the wire.
+// BackendFaults are the faults that a backend server injects. Counts apply to the
+// next calls and decrease with each use. Durations are encoded in nanoseconds.
 type BackendFaults struct {
 	// Slow multiplies the service time; 0 and 1: none.
 	Slow float64 `json:"slow"`
-	// ReplyDelay holds each finished reply back.
+	// ReplyDelay delays each finished reply.
 	ReplyDelay time.Duration `json:"late_by_ns"`
-	// HalfReplies breaks the connection in the middle of the body.
+	// HalfReplies closes the connection in the middle of the body.
 	HalfReplies int `json:"half_replies"`
 	// CorruptReplies changes a byte of the body but not its digest.
 	CorruptReplies int `json:"corrupt_replies"`
-	// CrossedReplies sends another request's reply.
+	// CrossedReplies sends the reply to another request.
 	CrossedReplies int `json:"crossed_replies"`
-	// LostReplies runs the work and breaks the connection in place of a reply.
+	// LostReplies runs the call and closes the connection without a reply.
 	LostReplies int `json:"lost_replies"`
-	// FailedReplies runs the work and answers that it failed.
+	// FailedReplies runs the call and replies that it failed.
 	FailedReplies int `json:"failed_replies"`
-	// ShedCalls refuses before run.
+	// ShedCalls refuses calls as if the server were overloaded.
 	ShedCalls int `json:"shed_next"`
-	// Unmarked503s answers 503 without a word on whether it ran, and runs it.
+	// Unmarked503s runs the call and replies with a 503 without HeaderNotRun.
 	Unmarked503s int `json:"bare_refusals"`
-	// AnswerSnapshot answers from this snapshot, whatever was asked; 0: as asked.
+	// AnswerSnapshot answers from this snapshot instead of the requested one; 0: none.
 	AnswerSnapshot snapshot.Version `json:"answer_from"`
-	// LoadLag makes load reports old by this much.
+	// LoadLag is the age of the load reports.
 	LoadLag time.Duration `json:"load_lag_ns"`
 	// LoadOverride replaces the load reports.
 	LoadOverride *backend.Load `json:"load_lie,omitempty"`
-	// DrainUntold refuses nothing and says nothing while draining.
+	// DrainUntold accepts calls while draining and doesn't report the draining.
 	DrainUntold bool `json:"drain_untold"`
 }
 
@@ -54,24 +53,24 @@
 	b.faults = faults
 }
 
-// Faults returns the faults that are left.
+// Faults returns the faults with the remaining counts.
 func (b *Backend) Faults() BackendFaults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-// backendControl is the body of the control interface.
+// backendControl is the body of requests and replies at PathControl.
 type backendControl struct {
 	Faults   BackendFaults `json:"faults"`
 	Draining bool          `json:"draining"`
-	// Silence and CrashFor act once.
+	// Silence and Crash take effect once.
 	Silence  bool          `json:"silence,omitempty"`
 	Crash    bool          `json:"crash,omitempty"`
 	CrashFor time.Duration `json:"crash_for_ns,omitempty"`
 }
 
-// serveControl shows the faults, or replaces them.
+// serveControl returns the faults after replacing them on PUT.
 func (b *Backend) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var control backendControl
@@ -98,10 +97,10 @@
 	writeJSON(w, http.StatusOK, b.record.Runs())
 }
 
-func readControl(r *http.Request, into any) error {
+func readControl(r *http.Request, control any) error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
-	return decoder.Decode(into)
+	return decoder.Decode(control)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
--- a/standin/content.go
+++ b/standin/content.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins of the users' platform and of backend
-// servers, for tests, demonstrations and embedders. They fail on request, and
-// they record what happened, so that what was said can be compared with what ran.
+// Package standin provides in-memory stand-ins for the platform and for backend
+// servers, for tests and demos. They inject faults on request and record every
+// run, so that results can be checked against what really ran.
 package standin
 
 import (
@@ -10,26 +10,26 @@
 	"github.com/goldcrestspan/goldcrestspan/snapshot"
 )
 
-// Content is the body of every answer of a backend server stand-in.
+// Content is the reply body of a Backend.
 type Content struct {
 	Index    string           `json:"index"`
 	Snapshot snapshot.Version `json:"snapshot"`
 	Shard    snapshot.ShardID `json:"shard"`
 	// Request is the digest of the request's body.
 	Request string `json:"request"`
-	// Checksum is the digest of the fields above: half or mixed content fails it.
+	// Checksum is the digest of the encoding with this field empty.
 	Checksum string `json:"proof"`
 }
 
-// ShardBody is the one right answer of a shard: a checker that knows the
-// request can tell a mixed snapshot, a wrong shard or another request's answer.
+// ShardBody returns the correct reply body of a shard, so that a test detects a
+// wrong snapshot, a wrong shard or the reply to another request.
 func ShardBody(index string, version snapshot.Version, shard snapshot.ShardID, request []byte) []byte {
 	content := Content{Index: index, Snapshot: version, Shard: shard, Request: backend.Digest(request)}
-	unproved, err := json.Marshal(content)
+	payload, err := json.Marshal(content)
 	if err != nil {
-		panic(err) // strings and numbers always marshal
+		panic(err) // can't fail for strings and numbers
 	}
-	content.Checksum = backend.Digest(unproved)
+	content.Checksum = backend.Digest(payload)
 	body, err := json.Marshal(content)
 	if err != nil {
 		panic(err)
--- a/standin/platform_control.go
+++ b/standin/platform_control.go
@@ -6,21 +6,21 @@
 	"github.com/goldcrestspan/goldcrestspan/metastore"
 )
 
-// PathControlHost adds a host to the host list (POST, a metastore.ListedHost) or
-// takes one off (DELETE, with the query parameters kind and name).
+// PathControlHost adds a host to the host list (POST with a metastore.ListedHost) or
+// removes one (DELETE with the query parameters kind and name).
 const PathControlHost = "/control/host"
 
-// platformControl is the body of the control interface.
+// platformControl is the body of requests and replies at PathControl.
 type platformControl struct {
 	Faults PlatformFaults `json:"faults"`
-	// Calls is answered only.
+	// Calls is set in replies only.
 	Calls *PlatformCalls `json:"calls,omitempty"`
-	// Silence and Break act once on the open connections.
+	// Silence and Break apply once to the open connections.
 	Silence bool `json:"silence,omitempty"`
 	Break   bool `json:"break,omitempty"`
 }
 
-// serveControl shows the faults and counts, or replaces the faults.
+// serveControl returns the faults and counts after replacing the faults on PUT.
 func (p *Platform) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var control platformControl
