--- a/testbed/check.go
+++ b/testbed/check.go
@@ -13,19 +13,19 @@
 	"github.com/goldcrestspan/goldcrestspan/standin"
 )
 
-// Broken is one promise that did not hold for one request.
+// Broken is a violation of a guarantee by one request.
 type Broken struct {
 	Promise string
 	Request string
 	Detail  string
 }
 
-// String is the line that reports print.
+// String formats the violation for reports.
 func (b Broken) String() string {
 	return fmt.Sprintf("%s: request %s: %s", b.Promise, b.Request, b.Detail)
 }
 
-// The promises that a Checker checks.
+// The guarantees that a Checker checks.
 const (
 	GuaranteeOneSnapshot         = "one index snapshot per answer"
 	GuaranteeCoverage            = "coverage stated truly"
@@ -36,53 +36,53 @@
 	GuaranteeMonotonicGeneration = "an accepted configuration never reverts"
 )
 
-// Checker compares what callers were told with what the stand-ins ran. It is
-// safe for concurrent use.
+// Checker compares the replies that callers received with the record of what the
+// backend servers ran. It is safe for concurrent use.
 type Checker struct {
 	record *standin.Record
-	// total is the number of shards by index and version.
-	total func(index string, version snapshot.Version) int
-
-	mu       sync.Mutex
-	broken   []Broken
-	notRun   []ident.RequestID
-	bookings map[string]bool // digests of booking bodies
-	checked  int
-	left     map[string]time.Time // by server
-	highest  map[string]uint64    // generation, by host
+	// shardCount returns the number of shards of a snapshot.
+	shardCount func(index string, version snapshot.Version) int
+
+	mu           sync.Mutex
+	violations   []Broken
+	notRun       []ident.RequestID
+	bookings     map[string]bool // digests of booking bodies
+	checked      int
+	leavingSince map[string]time.Time // by server name
+	generations  map[string]uint64    // highest generation by host
 }
 
-// NewChecker makes a checker over the record. total tells how many shards a
-// snapshot has, from what was published.
-func NewChecker(record *standin.Record, total func(index string, version snapshot.Version) int) *Checker {
+// NewChecker returns a checker over the record. shardCount returns the number of
+// shards of a published snapshot.
+func NewChecker(record *standin.Record, shardCount func(index string, version snapshot.Version) int) *Checker {
 	return &Checker{
-		record:   record,
-		total:    total,
-		bookings: make(map[string]bool),
-		left:     make(map[string]time.Time),
-		highest:  make(map[string]uint64),
+		record:       record,
+		shardCount:   shardCount,
+		bookings:     make(map[string]bool),
+		leavingSince: make(map[string]time.Time),
+		generations:  make(map[string]uint64),
 	}
 }
 
-// Answer checks one reply to a query at once, and notes what only the end can
-// show. request is the body that the caller sent.
+// Answer checks the reply to a query and stores what Finish has to check. request
+// is the body that the caller sent.
 func (c *Checker) Answer(request []byte, reply *front.Reply) {
-	c.answer(request, reply, c.totalOf(reply))
+	c.checkReply(request, reply, c.shardCountOf(reply))
 }
 
-// BookingAnswer is Answer for a booking, which goes to one shard.
+// BookingAnswer checks the reply to a booking, which goes to one shard.
 func (c *Checker) BookingAnswer(request []byte, reply *front.Reply) {
-	c.answer(request, reply, 1)
+	c.checkReply(request, reply, 1)
 }
 
-func (c *Checker) totalOf(reply *front.Reply) int {
+func (c *Checker) shardCountOf(reply *front.Reply) int {
 	if reply.Snapshot == nil {
 		return 0
 	}
-	return c.total(reply.Snapshot.Index, reply.Snapshot.Version)
+	return c.shardCount(reply.Snapshot.Index, reply.Snapshot.Version)
 }
 
-func (c *Checker) answer(request []byte, reply *front.Reply, total int) {
+func (c *Checker) checkReply(request []byte, reply *front.Reply, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checked++
@@ -99,7 +99,8 @@
 	c.checkParts(request, reply)
 }
 
-// Booking notes that a body was sent as a booking, each body once only.
+// Booking records that a body with this digest was sent as a booking. Bodies must be
+// unique.
 func (c *Checker) Booking(digest string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,12 +109,12 @@
 
 func (c *Checker) checkCoverage(reply *front.Reply, total int) {
 	parts := len(reply.Shards)
-	said := reply.Coverage
-	if said.Have != parts || said.Total != total || said.Complete != (parts == total) {
-		c.add(GuaranteeCoverage, reply.RequestID, fmt.Sprintf("says %d of %d, complete %t; has %d of %d", said.Have, said.Total, said.Complete, parts, total))
+	stated := reply.Coverage
+	if stated.Have != parts || stated.Total != total || stated.Complete != (parts == total) {
+		c.addViolation(GuaranteeCoverage, reply.RequestID, fmt.Sprintf("says %d of %d, complete %t; has %d of %d", stated.Have, stated.Total, stated.Complete, parts, total))
 	}
 	if (reply.Code == result.Complete) != (parts == total) {
-		c.add(GuaranteeCoverage, reply.RequestID, fmt.Sprintf("code %s with %d of %d", reply.Name, parts, total))
+		c.addViolation(GuaranteeCoverage, reply.RequestID, fmt.Sprintf("code %s with %d of %d", reply.Name, parts, total))
 	}
 }
 
@@ -121,47 +122,47 @@
 	seen := make(map[snapshot.ShardID]bool)
 	for _, part := range reply.Shards {
 		if seen[part.Shard] {
-			c.add(GuaranteeCompleteAnswer, reply.RequestID, fmt.Sprintf("shard %d twice", part.Shard))
+			c.addViolation(GuaranteeCompleteAnswer, reply.RequestID, fmt.Sprintf("shard %d twice", part.Shard))
 		}
 		seen[part.Shard] = true
 		want := standin.ShardBody(reply.Snapshot.Index, reply.Snapshot.Version, part.Shard, request)
 		if bytes.Equal(part.Body, want) {
 			continue
 		}
-		promise := GuaranteeCompleteAnswer
+		guarantee := GuaranteeCompleteAnswer
 		if bytes.Contains(part.Body, []byte(`"snapshot":`)) && !bytes.Contains(part.Body, fmt.Appendf(nil, `"snapshot":%d,`, reply.Snapshot.Version)) {
-			promise = GuaranteeOneSnapshot
+			guarantee = GuaranteeOneSnapshot
 		}
-		c.add(promise, reply.RequestID, fmt.Sprintf("shard %d: got %s", part.Shard, part.Body))
+		c.addViolation(guarantee, reply.RequestID, fmt.Sprintf("shard %d: got %s", part.Shard, part.Body))
 	}
 }
 
-func (c *Checker) add(promise, request, detail string) {
-	c.broken = append(c.broken, Broken{Promise: promise, Request: request, Detail: detail})
+func (c *Checker) addViolation(guarantee, request, detail string) {
+	c.violations = append(c.violations, Broken{Promise: guarantee, Request: request, Detail: detail})
 }
 
-// Finish checks what needs the whole record, and returns every broken promise
-// and how many replies were checked. Call it when nothing runs any more.
-func (c *Checker) Finish() (broken []Broken, checked int) {
+// Finish checks the complete record and returns all violations and the number of
+// replies that were checked. Nothing may be running when it is called.
+func (c *Checker) Finish() (violations []Broken, checked int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.notRun {
 		if runs := c.record.Of(id); len(runs) > 0 {
-			c.add(GuaranteeNotRun, id.String(), fmt.Sprintf("ran on %s", runs[0].Server))
+			c.addViolation(GuaranteeNotRun, id.String(), fmt.Sprintf("ran on %s", runs[0].Server))
 		}
 	}
 	runs := c.record.Runs()
 	c.checkLeaving(runs)
-	times := make(map[string][]standin.Run)
+	runsByBody := make(map[string][]standin.Run)
 	for _, run := range runs {
 		if !run.Idempotent {
-			times[run.Body] = append(times[run.Body], run)
+			runsByBody[run.Body] = append(runsByBody[run.Body], run)
 		}
 	}
-	for body, runs := range times {
+	for body, runs := range runsByBody {
 		if len(runs) > 1 && c.bookings[body] {
-			c.add(GuaranteeAtMostOnce, runs[1].RequestText, fmt.Sprintf("ran %d times, on %s and %s", len(runs), runs[0].Server, runs[1].Server))
+			c.addViolation(GuaranteeAtMostOnce, runs[1].RequestText, fmt.Sprintf("ran %d times, on %s and %s", len(runs), runs[0].Server, runs[1].Server))
 		}
 	}
-	return c.broken, c.checked
+	return c.violations, c.checked
 }
--- a/testbed/check_fleet.go
+++ b/testbed/check_fleet.go
@@ -7,36 +7,36 @@
 	"github.com/goldcrestspan/goldcrestspan/standin"
 )
 
-// leavingGrace is the "few seconds" after which a leaving server may get no
-// new work: hosts hear of it from a list that they read about once a second.
+// leavingGrace is how long a leaving server may get new calls. Hosts read the host
+// list about once a second.
 const leavingGrace = 4 * time.Second
 
-// Left notes that a backend server was announced as leaving and does not come
-// back. Finish finds the work that it was given too late.
+// Left records that a backend server was announced as leaving for good. Finish checks
+// that it got no new calls after leavingGrace.
 func (c *Checker) Left(server string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left[server] = at
+	c.leavingSince[server] = at
 }
 
-// Generation notes the generation that a host serves from. host must change
-// with the host's incarnation: a restarted host starts without any.
+// Generation records the configuration generation of a host and checks that it never
+// decreases. host must be unique for each incarnation of a host.
 func (c *Checker) Generation(host string, generation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if generation < c.highest[host] {
-		c.add(GuaranteeMonotonicGeneration, "-", fmt.Sprintf("%s went from generation %d back to %d", host, c.highest[host], generation))
+	if generation < c.generations[host] {
+		c.addViolation(GuaranteeMonotonicGeneration, "-", fmt.Sprintf("%s went from generation %d back to %d", host, c.generations[host], generation))
 	}
-	c.highest[host] = max(c.highest[host], generation)
+	c.generations[host] = max(c.generations[host], generation)
 }
 
 func (c *Checker) checkLeaving(runs []standin.Run) {
 	for _, run := range runs {
-		at, leaving := c.left[run.Server]
+		at, leaving := c.leavingSince[run.Server]
 		if !leaving || !run.Started.After(at.Add(leavingGrace)) {
 			continue
 		}
 		late := run.Started.Sub(at).Round(time.Millisecond)
-		c.add(GuaranteeNoNewWork, run.RequestText, fmt.Sprintf("%s got work %s after it was announced as leaving", run.Server, late))
+		c.addViolation(GuaranteeNoNewWork, run.RequestText, fmt.Sprintf("%s got work %s after it was announced as leaving", run.Server, late))
 	}
 }
--- a/testbed/hosts.go
+++ b/testbed/hosts.go
@@ -18,15 +18,15 @@
 			return err
 		}
 	}
-	return b.awaitReady()
+	return b.waitUntilReady()
 }
 
-// StartHost starts one more entry host; it need not be ready yet.
+// StartHost starts another entry host and doesn't wait until it is ready.
 func (b *Bed) StartHost() (*RunningHost, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.hostSettings(b.made)
-	b.made++
+	s := b.hostSettings(b.startedHosts)
+	b.startedHosts++
 	host, err := goldcrestspan.New(s, goldcrestspan.Options{Logger: b.config.Logger.Named(s.Host.Name)})
 	if err != nil {
 		return nil, err
@@ -38,11 +38,11 @@
 		close(running.done)
 	}()
 	b.hosts = append(b.hosts, running)
-	b.listEntry(host, s, metastore.StateLive)
+	b.listEntryHost(host, s, metastore.StateLive)
 	return running, nil
 }
 
-func (b *Bed) listEntry(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
+func (b *Bed) listEntryHost(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
 	b.Platform.AddHost(metastore.ListedHost{
 		Name:        s.Host.Name,
 		Kind:        metastore.KindEntry,
@@ -76,18 +76,19 @@
 	return s
 }
 
-func (b *Bed) awaitReady() error {
-	deadline := time.Now().Add(readyWithin)
+func (b *Bed) waitUntilReady() error {
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if b.ready() {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
-	return errors.Errorf("the hosts were not ready within %s", readyWithin)
+	return errors.Errorf("hosts not ready after %s", readyTimeout)
 }
 
-// ready wants every host to see all others, so that all agree on the homes.
+// ready reports whether every host is serving and sees all others, so that they agree
+// on the homes.
 func (b *Bed) ready() bool {
 	hosts := b.Hosts()
 	for _, host := range hosts {
@@ -99,7 +100,7 @@
 	return true
 }
 
-// Hosts are the entry hosts that were started and not ended.
+// Hosts returns the running entry hosts.
 func (b *Bed) Hosts() []*RunningHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -112,7 +113,7 @@
 	return live
 }
 
-// CallerAddresses are the callers' listeners of the live hosts.
+// CallerAddresses returns the addresses of the running hosts for callers.
 func (b *Bed) CallerAddresses() []string {
 	var addresses []string
 	for _, host := range b.Hosts() {
@@ -121,14 +122,14 @@
 	return addresses
 }
 
-// Stop asks for a planned stop and waits for its end.
+// Stop performs a planned stop.
 func (h *RunningHost) Stop() error {
 	h.cancel()
 	<-h.done
 	return h.err
 }
 
-// Kill ends the host as a crash does: every connection breaks, nothing is said.
+// Kill ends the host like a crash: all connections are closed without notice.
 func (h *RunningHost) Kill() {
 	h.Abort()
 	<-h.done
--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -1,7 +1,6 @@
-// Package testbed starts the whole system on loopback in one process: a
-// platform stand-in, backend server stand-ins in the users' shapes, and entry
-// hosts with a signed configuration in force. The demo, the load tool and the
-// tests over real sockets use it, and so can embedders' tests.
+// Package testbed runs a complete system in one process over loopback: stand-ins for
+// the platform and the backend servers, and entry hosts with a signed configuration.
+// It is for tests, the demo and the load tool.
 package testbed
 
 import (
@@ -27,40 +26,39 @@
 )
 
 const (
-	region = "local"
-	// readyWithin bounds the start of the whole bed.
-	readyWithin = 20 * time.Second
-	readyPoll   = 10 * time.Millisecond
-	anyPort     = "127.0.0.1:0"
+	region            = "local"
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	anyPort           = "127.0.0.1:0"
 )
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Group is a set of services of one shape, searched together as one index.
+// Group is a set of identical services that form one index.
 type Group struct {
 	Index       string
 	Services    int
 	Servers     int // per service
 	Slots       int // per server
 	Connections int // per server
-	// QueueLimit is how many calls a server lets wait; above it it refuses.
+	// QueueLimit is how many calls can wait at a server; more are refused.
 	QueueLimit int
 	Time       standin.ServiceTime
 }
 
-// Config shapes a bed.
+// Config configures a system.
 type Config struct {
 	Groups    []Group
 	Hosts     int
 	Documents bundle.Documents
-	// Holds makes servers hold only the published snapshots they are told to;
-	// otherwise every server answers from any snapshot.
+	// Holds makes servers hold only the snapshots that are added to them; otherwise
+	// they hold all.
 	Holds bool
-	// CrashMarker in a request's body crashes a backend server.
+	// CrashMarker in a request body crashes the backend server.
 	CrashMarker string
 	Seed        uint64
 	Logger      *zap.Logger
-	// Tune may change a host's settings before it starts.
+	// Tune modifies a host's settings before it starts.
 	Tune func(*settings.Settings)
 }
 
@@ -69,16 +67,16 @@
 	Platform        *standin.Platform
 	PlatformAddress string
 	Record          *standin.Record
-	Backends        []*standin.Backend // in the order of the groups
+	Backends        []*standin.Backend // in the order of Config.Groups
 	config          Config
 	signers         bundle.Signers
 	keys            []bundle.SigningKey
 	ctx             context.Context
 
-	mu        sync.Mutex
-	hosts     []*RunningHost
-	made      int
-	published map[publishedKey]int // number of shards
+	mu           sync.Mutex
+	hosts        []*RunningHost
+	startedHosts int
+	published    map[publishedKey]int // number of shards
 }
 
 type publishedKey struct {
@@ -86,7 +84,7 @@
 	version snapshot.Version
 }
 
-// RunningHost is one entry host of the bed.
+// RunningHost is an entry host that was started.
 type RunningHost struct {
 	*goldcrestspan.Host
 	cancel context.CancelFunc
@@ -94,7 +92,7 @@
 	err    error
 }
 
-// Start starts everything and returns when every host is ready.
+// Start starts the system and returns when all hosts are ready.
 func Start(ctx context.Context, config Config) (*Bed, error) {
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
@@ -107,7 +105,7 @@
 
 		published: make(map[publishedKey]int),
 	}
-	for _, step := range []func() error{b.startPlatform, b.makeKeys, b.startBackends, b.publishAll, b.firstBundle, b.startHosts} {
+	for _, step := range []func() error{b.startPlatform, b.makeKeys, b.startBackends, b.publishAll, b.submitFirstBundle, b.startHosts} {
 		if err := step(); err != nil {
 			b.Close()
 			return nil, errors.Wrap(err, "testbed")
@@ -123,21 +121,21 @@
 }
 
 func (b *Bed) makeKeys() error {
-	var public []settings.Signer
+	var signerKeys []settings.Signer
 	for _, name := range []string{"author", "reviewer"} {
 		key, err := bundle.GenerateKey(name)
 		if err != nil {
 			return err
 		}
 		b.keys = append(b.keys, key)
-		public = append(public, key.Signer())
+		signerKeys = append(signerKeys, key.Signer())
 	}
-	signers, err := bundle.NewSigners(public)
+	signers, err := bundle.NewSigners(signerKeys)
 	b.signers = signers
 	return err
 }
 
-// ServiceName is the name of a group's i-th service.
+// ServiceName returns the name of a group's i-th service.
 func ServiceName(group string, i int) string { return fmt.Sprintf("%s-%02d", group, i) }
 
 func (b *Bed) startBackends() error {
@@ -180,7 +178,7 @@
 	return nil
 }
 
-// List puts a backend server on the host list in a state.
+// List adds a backend server to the host list or changes its state there.
 func (b *Bed) List(standIn *standin.Backend, state metastore.HostState) {
 	server := standIn.Server()
 	b.Platform.AddHost(metastore.ListedHost{
@@ -195,7 +193,7 @@
 	})
 }
 
-// BackendsOf returns the servers of a service.
+// BackendsOf returns the backend servers of a service.
 func (b *Bed) BackendsOf(service string) []*standin.Backend {
 	var found []*standin.Backend
 	for _, standIn := range b.Backends {
@@ -218,14 +216,14 @@
 	return nil
 }
 
-// AddSnapshotToAll makes all servers hold a snapshot.
+// AddSnapshotToAll adds a snapshot to all backend servers.
 func (b *Bed) AddSnapshotToAll(index string, version snapshot.Version) {
 	for _, standIn := range b.Backends {
 		standIn.Hold(index, version)
 	}
 }
 
-// ShardMap makes the group's plain shard map: one shard for each service.
+// ShardMap returns a snapshot with one shard for each service of the index.
 func (b *Bed) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Index: index, Version: version}
 	for _, group := range b.config.Groups {
@@ -239,7 +237,7 @@
 	return s
 }
 
-// Publish puts a snapshot into the platform, as an index builder does.
+// Publish stores a snapshot in the platform, as an index builder does.
 func (b *Bed) Publish(s *snapshot.Snapshot) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -253,14 +251,14 @@
 	return err
 }
 
-// Published is the number of shards of a published snapshot; 0: none such.
+// Published returns the number of shards of a snapshot, or 0 if it isn't published.
 func (b *Bed) Published(index string, version snapshot.Version) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.published[publishedKey{index, version}]
 }
 
-func (b *Bed) firstBundle() error {
+func (b *Bed) submitFirstBundle() error {
 	docs := b.config.Documents
 	for _, group := range b.config.Groups {
 		for i := range group.Services {
@@ -276,7 +274,7 @@
 	return err
 }
 
-// Documents are those of the first bundle, with the services of the groups.
+// Documents returns the documents of the first bundle.
 func (b *Bed) Documents() bundle.Documents { return b.config.Documents }
 
 // Submit signs and submits documents as the next generation.
@@ -295,13 +293,13 @@
 	return rollout.Submit(b.ctx, b.Platform, b.signers, change)
 }
 
-// TokenHash is the hexadecimal SHA-256 of a caller's token, for documents.
+// TokenHash returns the hexadecimal SHA-256 of a caller's token.
 func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// Close ends everything at once, without planned stops.
+// Close stops everything immediately, without planned stops.
 func (b *Bed) Close() {
 	for _, host := range b.Hosts() {
 		host.Kill()
