--- a/backend/backend.go
+++ b/backend/backend.go
@@ -53,9 +53,9 @@
 	Snapshot    snapshot.Version
 	Load        Load
 	Incarnation uint64
-	// Held lists the snapshots of the call's index that the server holds, newest
+	// HeldSnapshots lists the snapshots of the call's index that the server holds, newest
 	// first; nil if the server doesn't report them.
-	Held []snapshot.Version
+	HeldSnapshots []snapshot.Version
 	// Forwarded is the reply to a forwarded request, or nil.
 	Forwarded *forward.Reply
 }
@@ -73,12 +73,12 @@
 	FaultSnapshotNotHeld        // the server doesn't hold the snapshot: refused
 	FaultDeadline               // no reply before the deadline: unknown
 	FaultCancelled              // cancelled by this host: unknown
-	FaultSilent                 // no data arrived and the server doesn't know the call: unknown
-	FaultBroken                 // the connection was lost after sending: unknown
-	FaultHalfReply              // the body's length or digest is wrong: unknown
-	FaultCrossed                // the echoed ids are another request's: unknown
+	FaultUnresponsive           // no data arrived and the server doesn't know the call: unknown
+	FaultConnectionLost         // the connection was lost after sending: unknown
+	FaultCorruptReply           // the body's length or digest is wrong: unknown
+	FaultMisroutedReply         // the echoed ids are another request's: unknown
 	FaultSnapshotMismatch       // answered from another snapshot: ran, not usable
-	FaultServer                 // the server reported a failure: ran
+	FaultServerError            // the server reported a failure: ran
 	FaultPeerLost               // the peer that forwarded the call was lost: unknown
 	FaultNotAllowed             // the eligibility rules exclude the server: unsent
 )
@@ -96,22 +96,22 @@
 	return faultNames[f]
 }
 
-// Attempt is the result of one Call: its outcome, and the reply if there is one.
-type Attempt struct {
+// CallResult is the result of one Call: its outcome, and the reply if there is one.
+type CallResult struct {
 	Outcome result.Outcome
 	Fault   Fault
 	Reply   Reply // set when Fault is FaultNone
-	// KeepFor is how long the server keeps an idle connection open; zero if unknown.
-	KeepFor time.Duration
+	// KeepAliveTimeout is how long the server keeps an idle connection open; zero if unknown.
+	KeepAliveTimeout time.Duration
 	// RetryAfter is the retry delay that the server asks for; zero if none.
 	RetryAfter time.Duration
 }
 
 // Usable reports whether the reply can be part of an answer.
-func (a Attempt) Usable() bool { return a.Outcome == result.OutcomeRan && a.Fault == FaultNone }
+func (a CallResult) Usable() bool { return a.Outcome == result.OutcomeRan && a.Fault == FaultNone }
 
 // Runner runs calls on backend servers. Run returns when ctx ends at the latest.
 // It reports OutcomeUnsent or OutcomeRefused only if the call certainly didn't run.
 type Runner interface {
-	Run(ctx context.Context, server Server, call Call) Attempt
+	Run(ctx context.Context, server Server, call Call) CallResult
 }
--- a/backend/client.go
+++ b/backend/client.go
@@ -35,21 +35,21 @@
 	// ConnectionsPerServer limits this host's connections to each server;
 	// default 24.
 	ConnectionsPerServer int
-	// Limit returns the connection limit of a server and overrides
+	// ConnectionLimit returns the connection limit of a server and overrides
 	// ConnectionsPerServer. It runs on each call and must be cheap.
-	Limit func(Server) int
+	ConnectionLimit func(Server) int
 	// MaxReplyBytes limits the body of a reply; default 4 MiB.
 	MaxReplyBytes int64
 	// DialTimeout limits how long opening a connection takes; default 500 ms.
 	DialTimeout time.Duration
-	// SilenceBound is how long a call may receive no data before the server is
+	// ReadIdleTimeout is how long a call may receive no data before the server is
 	// asked, on a new connection, whether it still runs the call; default 1 s,
 	// negative: never.
-	SilenceBound time.Duration
+	ReadIdleTimeout time.Duration
 	// ProbeTimeout limits that probe; default 500 ms.
 	ProbeTimeout time.Duration
-	// IdleFor is how long an idle connection is kept; default 30 s.
-	IdleFor time.Duration
+	// IdleTimeout is how long an idle connection is kept; default 30 s.
+	IdleTimeout time.Duration
 	// NonIdempotentIdleTimeout is the longest idle time of a connection that is
 	// reused for a call that is not idempotent; default 2 s.
 	NonIdempotentIdleTimeout time.Duration
@@ -63,9 +63,9 @@
 	setDefault(&o.ConnectionsPerServer, defaultConnections)
 	setDefault(&o.MaxReplyBytes, defaultMaxReplyBytes)
 	setDefault(&o.DialTimeout, defaultDialTimeout)
-	setDefault(&o.SilenceBound, defaultReadIdleTimeout)
+	setDefault(&o.ReadIdleTimeout, defaultReadIdleTimeout)
 	setDefault(&o.ProbeTimeout, defaultProbeTimeout)
-	setDefault(&o.IdleFor, defaultIdleTimeout)
+	setDefault(&o.IdleTimeout, defaultIdleTimeout)
 	setDefault(&o.NonIdempotentIdleTimeout, defaultNonIdempotentIdleTimeout)
 	if o.Protocol == nil {
 		o.Protocol = nativeProtocol{maxReplyBytes: o.MaxReplyBytes}
@@ -85,8 +85,8 @@
 	Dials                   uint64 // connections opened, probes included
 	Probes                  uint64 // health requests for calls that received no data
 	UnresponsiveConnections uint64 // connections closed after a failed probe
-	Crossed                 uint64 // replies with the ids of another request
-	HalfReplies             uint64 // replies with a wrong length or digest
+	MisroutedReplies        uint64 // replies with the ids of another request
+	CorruptReplies          uint64 // replies with a wrong length or digest
 }
 
 // Client is a Runner over HTTP/1.1. It manages its connections itself, because
@@ -124,13 +124,13 @@
 		Dials:                   c.dials.Load(),
 		Probes:                  c.probes.Load(),
 		UnresponsiveConnections: c.unresponsive.Load(),
-		Crossed:                 c.mismatchedReplies.Load(),
-		HalfReplies:             c.corruptReplies.Load(),
+		MisroutedReplies:        c.mismatchedReplies.Load(),
+		CorruptReplies:          c.corruptReplies.Load(),
 	}
 }
 
 // Run implements Runner.
-func (c *Client) Run(ctx context.Context, server Server, call Call) Attempt {
+func (c *Client) Run(ctx context.Context, server Server, call Call) CallResult {
 	if deadline, ok := ctx.Deadline(); !ok || deadline.After(call.Deadline) {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, call.Deadline)
@@ -142,7 +142,7 @@
 	}
 	attempt, reusable := c.exchange(ctx, server, connection, call)
 	if reusable {
-		connection.keepAliveTimeout = attempt.KeepFor
+		connection.keepAliveTimeout = attempt.KeepAliveTimeout
 		p.put(connection, time.Now())
 		return attempt
 	}
@@ -152,18 +152,18 @@
 }
 
 // connectFailure returns the result of a call for which no connection was available.
-func connectFailure(err error) Attempt {
+func connectFailure(err error) CallResult {
 	if errors.Is(err, errConnectionLimit) {
-		return Attempt{Outcome: result.OutcomeUnsent, Fault: FaultConnectionLimit}
+		return CallResult{Outcome: result.OutcomeUnsent, Fault: FaultConnectionLimit}
 	}
-	return Attempt{Outcome: result.OutcomeUnsent, Fault: FaultUnreachable}
+	return CallResult{Outcome: result.OutcomeUnsent, Fault: FaultUnreachable}
 }
 
 // connect reuses an idle connection or dials one. A call that is not idempotent
 // reuses only a connection that was in use recently: if the connection died
 // while idle, the outcome of the call would be unknown.
 func (c *Client) connect(ctx context.Context, server Server, call Call) (*pool, *conn, error) {
-	maxIdle := c.options.IdleFor
+	maxIdle := c.options.IdleTimeout
 	if !call.Idempotent {
 		maxIdle = c.options.NonIdempotentIdleTimeout
 	}
@@ -192,7 +192,7 @@
 
 // exchange sends the call on the connection and reads its reply. reusable is
 // false if the connection must be closed.
-func (c *Client) exchange(ctx context.Context, server Server, connection *conn, call Call) (attempt Attempt, reusable bool) {
+func (c *Client) exchange(ctx context.Context, server Server, connection *conn, call Call) (attempt CallResult, reusable bool) {
 	before := connection.tcp.writeCount()
 	watch := c.watchReadIdle(ctx, server, connection, call)
 	defer watch.stop()
@@ -209,14 +209,14 @@
 }
 
 // classify counts invalid replies and determines the fault of an incomplete one.
-func (c *Client) classify(ctx context.Context, watch *readIdleWatch, attempt Attempt, err error) Attempt {
+func (c *Client) classify(ctx context.Context, watch *readIdleWatch, attempt CallResult, err error) CallResult {
 	switch {
 	case err != nil && (watch.unresponsive.Load() || ctx.Err() != nil):
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: incompleteFault(ctx, watch)}
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: incompleteFault(ctx, watch)}
 	case err != nil:
 		c.corruptReplies.Add(1)
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultHalfReply}
-	case attempt.Fault == FaultCrossed:
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultCorruptReply}
+	case attempt.Fault == FaultMisroutedReply:
 		c.mismatchedReplies.Add(1)
 	}
 	return attempt
@@ -224,22 +224,22 @@
 
 // sendFailure returns the result of a call that received no reply headers. It is
 // unsent only if no write to the connection was started.
-func sendFailure(ctx context.Context, watch *readIdleWatch, written bool) Attempt {
+func sendFailure(ctx context.Context, watch *readIdleWatch, written bool) CallResult {
 	fault := incompleteFault(ctx, watch)
 	if !written {
-		if fault == FaultBroken {
+		if fault == FaultConnectionLost {
 			fault = FaultUnreachable
 		}
-		return Attempt{Outcome: result.OutcomeUnsent, Fault: fault}
+		return CallResult{Outcome: result.OutcomeUnsent, Fault: fault}
 	}
-	return Attempt{Outcome: result.OutcomeUnknown, Fault: fault}
+	return CallResult{Outcome: result.OutcomeUnknown, Fault: fault}
 }
 
 // incompleteFault returns why a call received no complete reply.
 func incompleteFault(ctx context.Context, watch *readIdleWatch) Fault {
 	switch {
 	case watch.unresponsive.Load():
-		return FaultSilent
+		return FaultUnresponsive
 	case !time.Now().Before(watch.call.Deadline):
 		// Compares the time instead of checking ctx: a server that closes the
 		// connection at the deadline, before the timer of ctx fires, must not
@@ -248,7 +248,7 @@
 	case ctx.Err() != nil:
 		return FaultCancelled
 	default:
-		return FaultBroken
+		return FaultConnectionLost
 	}
 }
 
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -21,7 +21,7 @@
 	Request(server Server, call Call) *http.Request
 	// Read reads a reply to its end. reusable is false if the connection must be
 	// closed. It returns an error if the reply is incomplete or corrupt.
-	Read(response *http.Response, call Call) (attempt Attempt, reusable bool, err error)
+	Read(response *http.Response, call Call) (attempt CallResult, reusable bool, err error)
 }
 
 // nativeProtocol is the protocol of PathRun and the Gcs headers.
@@ -50,9 +50,9 @@
 }
 
 // Read implements Protocol.
-func (p nativeProtocol) Read(response *http.Response, call Call) (Attempt, bool, error) {
+func (p nativeProtocol) Read(response *http.Response, call Call) (CallResult, bool, error) {
 	if !echoesMatch(response.Header, call) {
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultCrossed}, false, nil
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultMisroutedReply}, false, nil
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -61,22 +61,22 @@
 		attempt, reusable := readRefusal(response)
 		return attempt, reusable, nil
 	case statusFailed:
-		return Attempt{Outcome: result.OutcomeRan, Fault: FaultServer, Reply: replyFromHeaders(response)}, discard(response), nil
+		return CallResult{Outcome: result.OutcomeRan, Fault: FaultServerError, Reply: replyFromHeaders(response)}, discard(response), nil
 	default:
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultBroken}, false, nil
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultConnectionLost}, false, nil
 	}
 }
 
 // readRefusal reads a 503 reply. It counts as not run only with HeaderNotRun: an
 // intermediary may send a 503 after it forwarded the request.
-func readRefusal(response *http.Response) (Attempt, bool) {
+func readRefusal(response *http.Response) (CallResult, bool) {
 	reason := NotRunReason(response.Header.Get(HeaderNotRun))
 	fault, known := notRunFaults[reason]
 	if !known {
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultBroken}, false
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultConnectionLost}, false
 	}
 	retryAfterNs, _ := strconv.ParseInt(response.Header.Get(HeaderRetryAfterNs), 10, 64)
-	return Attempt{
+	return CallResult{
 		Outcome:    result.OutcomeRefused,
 		Fault:      fault,
 		Reply:      replyFromHeaders(response),
@@ -93,29 +93,29 @@
 func replyFromHeaders(response *http.Response) Reply {
 	incarnation, _ := strconv.ParseUint(response.Header.Get(HeaderIncarnation), 10, 64)
 	return Reply{
-		Load:        readLoad(response.Header),
-		Incarnation: incarnation,
-		Held:        parseVersions(response.Header.Get(HeaderHeld)),
+		Load:          readLoad(response.Header),
+		Incarnation:   incarnation,
+		HeldSnapshots: parseVersions(response.Header.Get(HeaderHeld)),
 	}
 }
 
 // readAnswer reads the body and verifies its length, digest and snapshot.
-func (p nativeProtocol) readAnswer(response *http.Response, call Call) (Attempt, bool, error) {
+func (p nativeProtocol) readAnswer(response *http.Response, call Call) (CallResult, bool, error) {
 	body, err := readFullBody(response, p.maxReplyBytes)
 	if err != nil {
-		return Attempt{}, false, err
+		return CallResult{}, false, err
 	}
 	if response.Header.Get(HeaderDigest) != Digest(body) {
-		return Attempt{}, false, errors.New("the body doesn't match its digest")
+		return CallResult{}, false, errors.New("the body doesn't match its digest")
 	}
 	reply := replyFromHeaders(response)
 	reply.Body = body
 	replySnapshot, err := strconv.ParseUint(response.Header.Get(HeaderSnapshot), 10, 64)
 	if err != nil || replySnapshot != uint64(call.Snapshot) {
-		return Attempt{Outcome: result.OutcomeRan, Fault: FaultSnapshotMismatch, Reply: Reply{Load: reply.Load, Incarnation: reply.Incarnation}}, true, nil
+		return CallResult{Outcome: result.OutcomeRan, Fault: FaultSnapshotMismatch, Reply: Reply{Load: reply.Load, Incarnation: reply.Incarnation}}, true, nil
 	}
 	reply.Snapshot = call.Snapshot
-	return Attempt{Outcome: result.OutcomeRan, Fault: FaultNone, Reply: reply}, true, nil
+	return CallResult{Outcome: result.OutcomeRan, Fault: FaultNone, Reply: reply}, true, nil
 }
 
 // readFullBody reads a body of the length in Content-Length to its end, so that
--- a/backend/read_idle.go
+++ b/backend/read_idle.go
@@ -31,8 +31,8 @@
 // no timer, as the deadline closes its connection.
 func (c *Client) watchReadIdle(ctx context.Context, server Server, connection *conn, call Call) *readIdleWatch {
 	w := &readIdleWatch{client: c, ctx: ctx, server: server, connection: connection, call: call}
-	if c.options.SilenceBound > 0 && time.Until(call.Deadline) > c.options.SilenceBound {
-		w.schedule(c.options.SilenceBound)
+	if c.options.ReadIdleTimeout > 0 && time.Until(call.Deadline) > c.options.ReadIdleTimeout {
+		w.schedule(c.options.ReadIdleTimeout)
 	}
 	return w
 }
@@ -55,7 +55,7 @@
 }
 
 func (w *readIdleWatch) check() {
-	timeout := w.client.options.SilenceBound
+	timeout := w.client.options.ReadIdleTimeout
 	if idle := w.connection.tcp.sinceLastRead(time.Now()); idle < timeout {
 		w.schedule(timeout - idle)
 		return
--- a/backend/tcp_conn.go
+++ b/backend/tcp_conn.go
@@ -74,7 +74,7 @@
 
 // dialTCP opens a TCP connection.
 func dialTCP(ctx context.Context, address string) (*tcpConn, error) {
-	dialer := net.Dialer{KeepAliveConfig: keepalive.Short}
+	dialer := net.Dialer{KeepAliveConfig: keepalive.Config}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -42,7 +42,7 @@
 		fresh = append(fresh, e)
 		v, ok := r.verdicts.Peek(e.Fingerprint)
 		if !ok {
-			v = verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineFor))}
+			v = verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineDuration))}
 		}
 		v.evidence = append(slices.Clone(v.evidence), e)
 		r.verdicts.Add(e.Fingerprint, v)
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -115,7 +115,7 @@
 	switch {
 	case outcome == result.OutcomeRan || outcome == result.OutcomeRefused:
 		return on.handleReply(now, a, incarnation)
-	case fault == backend.FaultBroken:
+	case fault == backend.FaultConnectionLost:
 		return on.handleBreak(now, a)
 	case fault == backend.FaultUnreachable:
 		return on.handleUnreachable(now)
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -111,7 +111,7 @@
 }
 
 func (r *Registry) addVerdict(now time.Time, f Fingerprint, crashes []*recordedCrash) {
-	v := verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineFor))}
+	v := verdict{since: now, until: now.Add(time.Duration(r.cfg.Policy.QuarantineDuration))}
 	for _, c := range crashes {
 		e := Evidence{Fingerprint: f, Server: c.Name, Incarnation: c.Incarnation, InFlight: uint32(len(c.Suspects))}
 		v.evidence = append(v.evidence, e)
--- a/scatter/answer.go
+++ b/scatter/answer.go
@@ -28,10 +28,10 @@
 
 // LegTiming is the latency of one leg, as the query's entry host measured it.
 type LegTiming struct {
-	Service  string
-	Time     time.Duration // from the query's start until its result, or its end
-	Wait     time.Duration // in its home's queue; leg.UnknownQueueTime when not known
-	TimedOut bool          // no result came in time
+	Service   string
+	Time      time.Duration // from the query's start until its result, or its end
+	QueueTime time.Duration // in its home's queue; leg.UnknownQueueTime when not known
+	TimedOut  bool          // no result came in time
 }
 
 // Answer is the one final result of a query. Its coverage is len(Parts) of Total.
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -14,9 +14,9 @@
 
 // Homes finds the home of a service, which runs its legs. It may be the local host.
 type Homes interface {
-	// Of returns the home of the service and the host that takes over when the
+	// Lookup returns the home of the service and the host that takes over when the
 	// home is lost; empty when there is none.
-	Of(service string) (first, second ident.HostID)
+	Lookup(service string) (first, second ident.HostID)
 	// Runner returns what runs legs at a host; false when the host is unknown.
 	Runner(host ident.HostID) (leg.Runner, bool)
 	// Forecast predicts the queue and service time of a leg of the class sent now.
@@ -202,7 +202,7 @@
 
 func (r *run) sendAll() {
 	for i, shard := range r.spec.Snapshot.Shards {
-		first, _ := r.c.homes.Of(shard.Service)
+		first, _ := r.c.homes.Lookup(shard.Service)
 		r.send(i, first)
 	}
 }
@@ -271,7 +271,7 @@
 
 func (r *run) handleResult(res legResult) {
 	r.timings[res.shard].Time = r.c.now().Sub(r.started)
-	r.timings[res.shard].Wait = res.result.QueueTime
+	r.timings[res.shard].QueueTime = res.result.QueueTime
 	if len(res.result.HeldSnapshots) > 0 {
 		r.c.onHeld(r.spec.Snapshot.Shards[res.shard].Service, r.spec.Index, res.result.HeldSnapshots)
 	}
@@ -293,7 +293,7 @@
 		t := &r.timings[i]
 		t.Service = r.spec.Snapshot.Shards[i].Service
 		if t.Time == 0 {
-			*t = LegTiming{Service: t.Service, Time: elapsed, Wait: leg.UnknownQueueTime, TimedOut: true}
+			*t = LegTiming{Service: t.Service, Time: elapsed, QueueTime: leg.UnknownQueueTime, TimedOut: true}
 		}
 	}
 	return r.timings
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -53,7 +53,7 @@
 
 // CutOff is when a query answers with the parts that it has, so that the answer
 // reaches the caller before its deadline even when one of many shards straggles.
-func CutOff(now, deadline time.Time, prefer bundle.Prefer) time.Time {
+func CutOff(now, deadline time.Time, prefer bundle.PartialStrategy) time.Time {
 	share := latencyReserve
 	if prefer == bundle.PreferCoverage {
 		share = coverageReserve
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -35,7 +35,7 @@
 // otherHome is the home to try when the one that the leg was sent to is lost: the
 // first home if it has changed since the leg was sent, otherwise the second.
 func (r *run) otherHome(shard int) ident.HostID {
-	first, second := r.c.homes.Of(r.spec.Snapshot.Shards[shard].Service)
+	first, second := r.c.homes.Lookup(r.spec.Snapshot.Shards[shard].Service)
 	if first != r.sentTo[shard] {
 		return first
 	}
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -45,7 +45,7 @@
 	CallerRTT time.Duration
 	// MinCoverage is the share of shards, 0 to 1, below which there is no answer.
 	MinCoverage float64
-	Prefer      bundle.Prefer
+	Prefer      bundle.PartialStrategy
 	Idempotent  bool
 	// Restartable ends the query as soon as a replica lacks the snapshot, so
 	// that it can be restarted on another one.
--- a/standin/backend_faults.go
+++ b/standin/backend_faults.go
@@ -18,16 +18,16 @@
 // BackendFaults are the faults that a backend server injects. Counts apply to the
 // next calls and decrease with each use. Durations are encoded in nanoseconds.
 type BackendFaults struct {
-	// Slow multiplies the service time; 0 and 1: none.
-	Slow float64 `json:"slow"`
+	// SlowFactor multiplies the service time; 0 and 1: none.
+	SlowFactor float64 `json:"slow"`
 	// ReplyDelay delays each finished reply.
 	ReplyDelay time.Duration `json:"late_by_ns"`
-	// HalfReplies closes the connection in the middle of the body.
-	HalfReplies int `json:"half_replies"`
+	// TruncatedReplies closes the connection in the middle of the body.
+	TruncatedReplies int `json:"half_replies"`
 	// CorruptReplies changes a byte of the body but not its digest.
 	CorruptReplies int `json:"corrupt_replies"`
-	// CrossedReplies sends the reply to another request.
-	CrossedReplies int `json:"crossed_replies"`
+	// MisroutedReplies sends the reply to another request.
+	MisroutedReplies int `json:"crossed_replies"`
 	// LostReplies runs the call and closes the connection without a reply.
 	LostReplies int `json:"lost_replies"`
 	// FailedReplies runs the call and replies that it failed.
@@ -42,8 +42,8 @@
 	LoadLag time.Duration `json:"load_lag_ns"`
 	// LoadOverride replaces the load reports.
 	LoadOverride *backend.Load `json:"load_lie,omitempty"`
-	// DrainUntold accepts calls while draining and doesn't report the draining.
-	DrainUntold bool `json:"drain_untold"`
+	// HideDraining accepts calls while draining and doesn't report the draining.
+	HideDraining bool `json:"drain_untold"`
 }
 
 // SetFaults replaces the faults.
@@ -79,9 +79,9 @@
 			return
 		}
 		b.SetFaults(control.Faults)
-		b.Drain(control.Draining)
+		b.SetDraining(control.Draining)
 		if control.Silence {
-			b.Silence()
+			b.BlackholeConnections()
 		}
 		if control.Crash {
 			defer func() { go b.Crash(control.CrashFor) }()
--- a/standin/platform_http.go
+++ b/standin/platform_http.go
@@ -60,8 +60,8 @@
 	p.forEachConn(func(c *trackedConn) { _ = c.Close() })
 }
 
-// Silence makes all open connections discard data; new ones work.
-func (p *Platform) Silence() {
+// BlackholeConnections makes all open connections discard data; new ones work.
+func (p *Platform) BlackholeConnections() {
 	p.forEachConn(func(c *trackedConn) { c.blackholed.Store(true) })
 }
 
--- a/testbed/check.go
+++ b/testbed/check.go
@@ -13,15 +13,15 @@
 	"github.com/goldcrestspan/goldcrestspan/standin"
 )
 
-// Broken is a violation of a guarantee by one request.
-type Broken struct {
+// Violation is a violation of a guarantee by one request.
+type Violation struct {
 	Promise string
 	Request string
 	Detail  string
 }
 
 // String formats the violation for reports.
-func (b Broken) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%s: request %s: %s", b.Promise, b.Request, b.Detail)
 }
 
@@ -44,7 +44,7 @@
 	shardCount func(index string, version snapshot.Version) int
 
 	mu           sync.Mutex
-	violations   []Broken
+	violations   []Violation
 	notRun       []ident.RequestID
 	bookings     map[string]bool // digests of booking bodies
 	checked      int
@@ -64,14 +64,14 @@
 	}
 }
 
-// Answer checks the reply to a query and stores what Finish has to check. request
+// CheckAnswer checks the reply to a query and stores what Finish has to check. request
 // is the body that the caller sent.
-func (c *Checker) Answer(request []byte, reply *front.Reply) {
+func (c *Checker) CheckAnswer(request []byte, reply *front.Reply) {
 	c.checkReply(request, reply, c.shardCountOf(reply))
 }
 
-// BookingAnswer checks the reply to a booking, which goes to one shard.
-func (c *Checker) BookingAnswer(request []byte, reply *front.Reply) {
+// CheckBookingAnswer checks the reply to a booking, which goes to one shard.
+func (c *Checker) CheckBookingAnswer(request []byte, reply *front.Reply) {
 	c.checkReply(request, reply, 1)
 }
 
@@ -99,9 +99,9 @@
 	c.checkParts(request, reply)
 }
 
-// Booking records that a body with this digest was sent as a booking. Bodies must be
+// AddBooking records that a body with this digest was sent as a booking. Bodies must be
 // unique.
-func (c *Checker) Booking(digest string) {
+func (c *Checker) AddBooking(digest string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bookings[digest] = true
@@ -138,16 +138,16 @@
 }
 
 func (c *Checker) addViolation(guarantee, request, detail string) {
-	c.violations = append(c.violations, Broken{Promise: guarantee, Request: request, Detail: detail})
+	c.violations = append(c.violations, Violation{Promise: guarantee, Request: request, Detail: detail})
 }
 
 // Finish checks the complete record and returns all violations and the number of
 // replies that were checked. Nothing may be running when it is called.
-func (c *Checker) Finish() (violations []Broken, checked int) {
+func (c *Checker) Finish() (violations []Violation, checked int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.notRun {
-		if runs := c.record.Of(id); len(runs) > 0 {
+		if runs := c.record.RunsOf(id); len(runs) > 0 {
 			c.addViolation(GuaranteeNotRun, id.String(), fmt.Sprintf("ran on %s", runs[0].Server))
 		}
 	}
--- a/testbed/check_fleet.go
+++ b/testbed/check_fleet.go
@@ -11,17 +11,17 @@
 // list about once a second.
 const leavingGrace = 4 * time.Second
 
-// Left records that a backend server was announced as leaving for good. Finish checks
+// ServerLeaving records that a backend server was announced as leaving for good. Finish checks
 // that it got no new calls after leavingGrace.
-func (c *Checker) Left(server string, at time.Time) {
+func (c *Checker) ServerLeaving(server string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leavingSince[server] = at
 }
 
-// Generation records the configuration generation of a host and checks that it never
+// ObserveGeneration records the configuration generation of a host and checks that it never
 // decreases. host must be unique for each incarnation of a host.
-func (c *Checker) Generation(host string, generation uint64) {
+func (c *Checker) ObserveGeneration(host string, generation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if generation < c.generations[host] {
--- a/testbed/hosts.go
+++ b/testbed/hosts.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-func (b *Bed) startHosts() error {
+func (b *Cluster) startHosts() error {
 	for range b.config.Hosts {
 		if _, err := b.StartHost(); err != nil {
 			return err
@@ -22,7 +22,7 @@
 }
 
 // StartHost starts another entry host and doesn't wait until it is ready.
-func (b *Bed) StartHost() (*RunningHost, error) {
+func (b *Cluster) StartHost() (*RunningHost, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.hostSettings(b.startedHosts)
@@ -42,7 +42,7 @@
 	return running, nil
 }
 
-func (b *Bed) listEntryHost(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
+func (b *Cluster) listEntryHost(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
 	b.Platform.AddHost(metastore.ListedHost{
 		Name:        s.Host.Name,
 		Kind:        metastore.KindEntry,
@@ -54,7 +54,7 @@
 	})
 }
 
-func (b *Bed) hostSettings(i int) settings.Settings {
+func (b *Cluster) hostSettings(i int) settings.Settings {
 	s := settings.Defaults()
 	s.Host = settings.Host{
 		Name:   fmt.Sprintf("host-%d", i+1),
@@ -70,13 +70,13 @@
 	for _, host := range b.hosts {
 		s.Peers = append(s.Peers, host.PeerAddress())
 	}
-	if b.config.Tune != nil {
-		b.config.Tune(&s)
+	if b.config.ModifySettings != nil {
+		b.config.ModifySettings(&s)
 	}
 	return s
 }
 
-func (b *Bed) waitUntilReady() error {
+func (b *Cluster) waitUntilReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if b.ready() {
@@ -89,7 +89,7 @@
 
 // ready reports whether every host is serving and sees all others, so that they agree
 // on the homes.
-func (b *Bed) ready() bool {
+func (b *Cluster) ready() bool {
 	hosts := b.Hosts()
 	for _, host := range hosts {
 		status := host.Status()
@@ -101,7 +101,7 @@
 }
 
 // Hosts returns the running entry hosts.
-func (b *Bed) Hosts() []*RunningHost {
+func (b *Cluster) Hosts() []*RunningHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var live []*RunningHost
@@ -114,7 +114,7 @@
 }
 
 // CallerAddresses returns the addresses of the running hosts for callers.
-func (b *Bed) CallerAddresses() []string {
+func (b *Cluster) CallerAddresses() []string {
 	var addresses []string
 	for _, host := range b.Hosts() {
 		addresses = append(addresses, host.CallerAddress())
--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -34,8 +34,8 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Group is a set of identical services that form one index.
-type Group struct {
+// ServiceGroup is a set of identical services that form one index.
+type ServiceGroup struct {
 	Index       string
 	Services    int
 	Servers     int // per service
@@ -48,22 +48,22 @@
 
 // Config configures a system.
 type Config struct {
-	Groups    []Group
+	Groups    []ServiceGroup
 	Hosts     int
 	Documents bundle.Documents
-	// Holds makes servers hold only the snapshots that are added to them; otherwise
+	// ManualSnapshots makes servers hold only the snapshots that are added to them; otherwise
 	// they hold all.
-	Holds bool
+	ManualSnapshots bool
 	// CrashMarker in a request body crashes the backend server.
 	CrashMarker string
 	Seed        uint64
 	Logger      *zap.Logger
-	// Tune modifies a host's settings before it starts.
-	Tune func(*settings.Settings)
+	// ModifySettings modifies a host's settings before it starts.
+	ModifySettings func(*settings.Settings)
 }
 
-// Bed is a running system.
-type Bed struct {
+// Cluster is a running system.
+type Cluster struct {
 	Platform        *standin.Platform
 	PlatformAddress string
 	Record          *standin.Record
@@ -93,11 +93,11 @@
 }
 
 // Start starts the system and returns when all hosts are ready.
-func Start(ctx context.Context, config Config) (*Bed, error) {
+func Start(ctx context.Context, config Config) (*Cluster, error) {
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
 	}
-	b := &Bed{
+	b := &Cluster{
 		Platform: standin.NewPlatform(),
 		Record:   standin.NewRecord(),
 		config:   config,
@@ -114,13 +114,13 @@
 	return b, nil
 }
 
-func (b *Bed) startPlatform() error {
+func (b *Cluster) startPlatform() error {
 	address, err := b.Platform.Start(anyPort)
 	b.PlatformAddress = address
 	return err
 }
 
-func (b *Bed) makeKeys() error {
+func (b *Cluster) makeKeys() error {
 	var signerKeys []settings.Signer
 	for _, name := range []string{"author", "reviewer"} {
 		key, err := bundle.GenerateKey(name)
@@ -138,7 +138,7 @@
 // ServiceName returns the name of a group's i-th service.
 func ServiceName(group string, i int) string { return fmt.Sprintf("%s-%02d", group, i) }
 
-func (b *Bed) startBackends() error {
+func (b *Cluster) startBackends() error {
 	for _, group := range b.config.Groups {
 		for i := range group.Services {
 			for j := range group.Servers {
@@ -151,35 +151,35 @@
 	return nil
 }
 
-func (b *Bed) startBackend(group Group, service, server int) error {
+func (b *Cluster) startBackend(group ServiceGroup, service, server int) error {
 	name := ServiceName(group.Index, service)
 	config := standin.BackendConfig{
-		Name:        fmt.Sprintf("%s-%d", name, server),
-		Service:     name,
-		Region:      region,
-		Zone:        zones[(service+server)%len(zones)],
-		Slots:       group.Slots,
-		QueueLimit:  group.QueueLimit,
-		Connections: group.Connections,
-		Time:        group.Time,
-		CrashMarker: b.config.CrashMarker,
-		Seed:        b.config.Seed,
-		Record:      b.Record,
+		Name:           fmt.Sprintf("%s-%d", name, server),
+		Service:        name,
+		Region:         region,
+		Zone:           zones[(service+server)%len(zones)],
+		Slots:          group.Slots,
+		QueueLimit:     group.QueueLimit,
+		MaxConnections: group.Connections,
+		ServiceTime:    group.Time,
+		CrashMarker:    b.config.CrashMarker,
+		Seed:           b.config.Seed,
+		Record:         b.Record,
 	}
-	if b.config.Holds {
-		config.Holds = map[string][]snapshot.Version{}
+	if b.config.ManualSnapshots {
+		config.HeldSnapshots = map[string][]snapshot.Version{}
 	}
 	standIn := standin.NewBackend(config)
 	if err := standIn.Start(anyPort); err != nil {
 		return err
 	}
 	b.Backends = append(b.Backends, standIn)
-	b.List(standIn, metastore.StateLive)
+	b.SetServerState(standIn, metastore.StateLive)
 	return nil
 }
 
-// List adds a backend server to the host list or changes its state there.
-func (b *Bed) List(standIn *standin.Backend, state metastore.HostState) {
+// SetServerState adds a backend server to the host list or changes its state there.
+func (b *Cluster) SetServerState(standIn *standin.Backend, state metastore.HostState) {
 	server := standIn.Server()
 	b.Platform.AddHost(metastore.ListedHost{
 		Name:        server.Name,
@@ -193,8 +193,8 @@
 	})
 }
 
-// BackendsOf returns the backend servers of a service.
-func (b *Bed) BackendsOf(service string) []*standin.Backend {
+// BackendsOfService returns the backend servers of a service.
+func (b *Cluster) BackendsOfService(service string) []*standin.Backend {
 	var found []*standin.Backend
 	for _, standIn := range b.Backends {
 		if standIn.Server().Service == service {
@@ -204,9 +204,9 @@
 	return found
 }
 
-func (b *Bed) publishAll() error {
+func (b *Cluster) publishAll() error {
 	for _, group := range b.config.Groups {
-		if b.config.Holds {
+		if b.config.ManualSnapshots {
 			b.AddSnapshotToAll(group.Index, 1)
 		}
 		if err := b.Publish(b.ShardMap(group.Index, 1)); err != nil {
@@ -217,14 +217,14 @@
 }
 
 // AddSnapshotToAll adds a snapshot to all backend servers.
-func (b *Bed) AddSnapshotToAll(index string, version snapshot.Version) {
+func (b *Cluster) AddSnapshotToAll(index string, version snapshot.Version) {
 	for _, standIn := range b.Backends {
-		standIn.Hold(index, version)
+		standIn.AddSnapshot(index, version)
 	}
 }
 
 // ShardMap returns a snapshot with one shard for each service of the index.
-func (b *Bed) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
+func (b *Cluster) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Index: index, Version: version}
 	for _, group := range b.config.Groups {
 		if group.Index != index {
@@ -238,7 +238,7 @@
 }
 
 // Publish stores a snapshot in the platform, as an index builder does.
-func (b *Bed) Publish(s *snapshot.Snapshot) error {
+func (b *Cluster) Publish(s *snapshot.Snapshot) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -251,14 +251,14 @@
 	return err
 }
 
-// Published returns the number of shards of a snapshot, or 0 if it isn't published.
-func (b *Bed) Published(index string, version snapshot.Version) int {
+// ShardCount returns the number of shards of a snapshot, or 0 if it isn't published.
+func (b *Cluster) ShardCount(index string, version snapshot.Version) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.published[publishedKey{index, version}]
 }
 
-func (b *Bed) submitFirstBundle() error {
+func (b *Cluster) submitFirstBundle() error {
 	docs := b.config.Documents
 	for _, group := range b.config.Groups {
 		for i := range group.Services {
@@ -275,10 +275,10 @@
 }
 
 // Documents returns the documents of the first bundle.
-func (b *Bed) Documents() bundle.Documents { return b.config.Documents }
+func (b *Cluster) Documents() bundle.Documents { return b.config.Documents }
 
 // Submit signs and submits documents as the next generation.
-func (b *Bed) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
+func (b *Cluster) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
 	change, err := rollout.Propose(b.ctx, b.Platform, docs, bundle.Proposal{
 		Author:  b.keys[0].Name,
 		Reason:  reason,
@@ -300,7 +300,7 @@
 }
 
 // Close stops everything immediately, without planned stops.
-func (b *Bed) Close() {
+func (b *Cluster) Close() {
 	for _, host := range b.Hosts() {
 		host.Kill()
 	}
