--- a/backend/backend.go
+++ b/backend/backend.go
@@ -108,7 +108,7 @@
 }
 
 // Usable reports whether the reply can be part of an answer.
-func (a CallResult) Usable() bool { return a.Outcome == result.OutcomeRan && a.Fault == FaultNone }
+func (r CallResult) Usable() bool { return r.Outcome == result.OutcomeRan && r.Fault == FaultNone }
 
 // Runner runs calls on backend servers. Run returns when ctx ends at the latest.
 // It reports OutcomeUnsent or OutcomeRefused only if the call certainly didn't run.
--- a/backend/client.go
+++ b/backend/client.go
@@ -99,7 +99,7 @@
 	pools     map[string]*pool // by server address
 	idleTimer *time.Timer      // closes expired connections; nil before the first pool
 
-	dials, probes, unresponsive, mismatchedReplies, corruptReplies atomic.Uint64
+	dials, probes, unresponsive, misroutedReplies, corruptReplies atomic.Uint64
 }
 
 var _ Runner = (*Client)(nil)
@@ -124,7 +124,7 @@
 		Dials:                   c.dials.Load(),
 		Probes:                  c.probes.Load(),
 		UnresponsiveConnections: c.unresponsive.Load(),
-		MisroutedReplies:        c.mismatchedReplies.Load(),
+		MisroutedReplies:        c.misroutedReplies.Load(),
 		CorruptReplies:          c.corruptReplies.Load(),
 	}
 }
@@ -140,15 +140,15 @@
 	if err != nil {
 		return connectFailure(err)
 	}
-	attempt, reusable := c.exchange(ctx, server, connection, call)
+	res, reusable := c.exchange(ctx, server, connection, call)
 	if reusable {
-		connection.keepAliveTimeout = attempt.KeepAliveTimeout
+		connection.keepAliveTimeout = res.KeepAliveTimeout
 		p.put(connection, time.Now())
-		return attempt
+		return res
 	}
 	connection.abort()
 	p.releaseSlot()
-	return attempt
+	return res
 }
 
 // connectFailure returns the result of a call for which no connection was available.
@@ -192,7 +192,7 @@
 
 // exchange sends the call on the connection and reads its reply. reusable is
 // false if the connection must be closed.
-func (c *Client) exchange(ctx context.Context, server Server, connection *conn, call Call) (attempt CallResult, reusable bool) {
+func (c *Client) exchange(ctx context.Context, server Server, connection *conn, call Call) (res CallResult, reusable bool) {
 	before := connection.tcp.writeCount()
 	watch := c.watchReadIdle(ctx, server, connection, call)
 	defer watch.stop()
@@ -203,23 +203,23 @@
 	if err != nil {
 		return sendFailure(ctx, watch, connection.abort() != before), false
 	}
-	attempt, reusable, err = c.options.Protocol.Read(e.response, call)
+	res, reusable, err = c.options.Protocol.Read(e.response, call)
 	reusable = e.finish() && reusable && err == nil
-	return c.classify(ctx, watch, attempt, err), reusable
+	return c.classify(ctx, watch, res, err), reusable
 }
 
 // classify counts invalid replies and determines the fault of an incomplete one.
-func (c *Client) classify(ctx context.Context, watch *readIdleWatch, attempt CallResult, err error) CallResult {
+func (c *Client) classify(ctx context.Context, watch *readIdleWatch, res CallResult, err error) CallResult {
 	switch {
 	case err != nil && (watch.unresponsive.Load() || ctx.Err() != nil):
 		return CallResult{Outcome: result.OutcomeUnknown, Fault: incompleteFault(ctx, watch)}
 	case err != nil:
 		c.corruptReplies.Add(1)
 		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultCorruptReply}
-	case attempt.Fault == FaultMisroutedReply:
-		c.mismatchedReplies.Add(1)
+	case res.Fault == FaultMisroutedReply:
+		c.misroutedReplies.Add(1)
 	}
-	return attempt
+	return res
 }
 
 // sendFailure returns the result of a call that received no reply headers. It is
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -21,7 +21,7 @@
 	Request(server Server, call Call) *http.Request
 	// Read reads a reply to its end. reusable is false if the connection must be
 	// closed. It returns an error if the reply is incomplete or corrupt.
-	Read(response *http.Response, call Call) (attempt CallResult, reusable bool, err error)
+	Read(response *http.Response, call Call) (res CallResult, reusable bool, err error)
 }
 
 // nativeProtocol is the protocol of PathRun and the Gcs headers.
@@ -58,8 +58,8 @@
 	case http.StatusOK:
 		return p.readAnswer(response, call)
 	case statusRefused:
-		attempt, reusable := readRefusal(response)
-		return attempt, reusable, nil
+		res, reusable := readRefusal(response)
+		return res, reusable, nil
 	case statusFailed:
 		return CallResult{Outcome: result.OutcomeRan, Fault: FaultServerError, Reply: replyFromHeaders(response)}, discard(response), nil
 	default:
--- a/standin/backend_faults.go
+++ b/standin/backend_faults.go
@@ -64,10 +64,10 @@
 type backendControl struct {
 	Faults   BackendFaults `json:"faults"`
 	Draining bool          `json:"draining"`
-	// Silence and Crash take effect once.
-	Silence  bool          `json:"silence,omitempty"`
-	Crash    bool          `json:"crash,omitempty"`
-	CrashFor time.Duration `json:"crash_for_ns,omitempty"`
+	// BlackholeConnections and Crash take effect once.
+	BlackholeConnections bool          `json:"silence,omitempty"`
+	Crash                bool          `json:"crash,omitempty"`
+	CrashFor             time.Duration `json:"crash_for_ns,omitempty"`
 }
 
 // serveControl returns the faults after replacing them on PUT.
@@ -80,7 +80,7 @@
 		}
 		b.SetFaults(control.Faults)
 		b.SetDraining(control.Draining)
-		if control.Silence {
+		if control.BlackholeConnections {
 			b.BlackholeConnections()
 		}
 		if control.Crash {
--- a/standin/platform_control.go
+++ b/standin/platform_control.go
@@ -15,9 +15,9 @@
 	Faults PlatformFaults `json:"faults"`
 	// Calls is set in replies only.
 	Calls *PlatformCalls `json:"calls,omitempty"`
-	// Silence and Break apply once to the open connections.
-	Silence bool `json:"silence,omitempty"`
-	Break   bool `json:"break,omitempty"`
+	// BlackholeConnections and Break apply once to the open connections.
+	BlackholeConnections bool `json:"silence,omitempty"`
+	Break                bool `json:"break,omitempty"`
 }
 
 // serveControl returns the faults and counts after replacing the faults on PUT.
@@ -29,7 +29,7 @@
 			return
 		}
 		p.SetFaults(control.Faults)
-		if control.Silence {
+		if control.BlackholeConnections {
 			defer p.BlackholeConnections()
 		}
 		if control.Break {
--- a/testbed/check.go
+++ b/testbed/check.go
@@ -21,8 +21,8 @@
 }
 
 // String formats the violation for reports.
-func (b Violation) String() string {
-	return fmt.Sprintf("%s: request %s: %s", b.Promise, b.Request, b.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%s: request %s: %s", v.Promise, v.Request, v.Detail)
 }
 
 // The guarantees that a Checker checks.
@@ -64,8 +64,8 @@
 	}
 }
 
-// CheckAnswer checks the reply to a query and stores what Finish has to check. request
-// is the body that the caller sent.
+// CheckAnswer checks the reply to a query and stores what Finish has to check.
+// request is the body that the caller sent.
 func (c *Checker) CheckAnswer(request []byte, reply *front.Reply) {
 	c.checkReply(request, reply, c.shardCountOf(reply))
 }
@@ -99,8 +99,8 @@
 	c.checkParts(request, reply)
 }
 
-// AddBooking records that a body with this digest was sent as a booking. Bodies must be
-// unique.
+// AddBooking records that a body with this digest was sent as a booking. Bodies
+// must be unique.
 func (c *Checker) AddBooking(digest string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/testbed/check_fleet.go
+++ b/testbed/check_fleet.go
@@ -11,16 +11,16 @@
 // list about once a second.
 const leavingGrace = 4 * time.Second
 
-// ServerLeaving records that a backend server was announced as leaving for good. Finish checks
-// that it got no new calls after leavingGrace.
+// ServerLeaving records that a backend server was announced as leaving for good.
+// Finish checks that it got no new calls after leavingGrace.
 func (c *Checker) ServerLeaving(server string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leavingSince[server] = at
 }
 
-// ObserveGeneration records the configuration generation of a host and checks that it never
-// decreases. host must be unique for each incarnation of a host.
+// ObserveGeneration records the configuration generation of a host and checks that
+// it never decreases. host must be unique for each incarnation of a host.
 func (c *Checker) ObserveGeneration(host string, generation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/testbed/hosts.go
+++ b/testbed/hosts.go
@@ -12,38 +12,38 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-func (b *Cluster) startHosts() error {
-	for range b.config.Hosts {
-		if _, err := b.StartHost(); err != nil {
+func (c *Cluster) startHosts() error {
+	for range c.config.Hosts {
+		if _, err := c.StartHost(); err != nil {
 			return err
 		}
 	}
-	return b.waitUntilReady()
+	return c.waitUntilReady()
 }
 
 // StartHost starts another entry host and doesn't wait until it is ready.
-func (b *Cluster) StartHost() (*RunningHost, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.hostSettings(b.startedHosts)
-	b.startedHosts++
-	host, err := goldcrestspan.New(s, goldcrestspan.Options{Logger: b.config.Logger.Named(s.Host.Name)})
+func (c *Cluster) StartHost() (*RunningHost, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.hostSettings(c.startedHosts)
+	c.startedHosts++
+	host, err := goldcrestspan.New(s, goldcrestspan.Options{Logger: c.config.Logger.Named(s.Host.Name)})
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancel(b.ctx)
+	ctx, cancel := context.WithCancel(c.ctx)
 	running := &RunningHost{Host: host, cancel: cancel, done: make(chan struct{})}
 	go func() {
 		running.err = host.Run(ctx)
 		close(running.done)
 	}()
-	b.hosts = append(b.hosts, running)
-	b.listEntryHost(host, s, metastore.StateLive)
+	c.hosts = append(c.hosts, running)
+	c.listEntryHost(host, s, metastore.StateLive)
 	return running, nil
 }
 
-func (b *Cluster) listEntryHost(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
-	b.Platform.AddHost(metastore.ListedHost{
+func (c *Cluster) listEntryHost(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
+	c.Platform.AddHost(metastore.ListedHost{
 		Name:        s.Host.Name,
 		Kind:        metastore.KindEntry,
 		Address:     host.PeerAddress(),
@@ -54,7 +54,7 @@
 	})
 }
 
-func (b *Cluster) hostSettings(i int) settings.Settings {
+func (c *Cluster) hostSettings(i int) settings.Settings {
 	s := settings.Defaults()
 	s.Host = settings.Host{
 		Name:   fmt.Sprintf("host-%d", i+1),
@@ -62,24 +62,24 @@
 		Zone:   zones[i%len(zones)],
 	}
 	s.Listeners = settings.Listeners{Callers: anyPort, Peers: anyPort, Operators: anyPort}
-	s.Platform.Addresses = []string{b.PlatformAddress}
+	s.Platform.Addresses = []string{c.PlatformAddress}
 	s.TLS.PlainText = true
-	for _, key := range b.keys {
+	for _, key := range c.keys {
 		s.Keys.Signers = append(s.Keys.Signers, key.Signer())
 	}
-	for _, host := range b.hosts {
+	for _, host := range c.hosts {
 		s.Peers = append(s.Peers, host.PeerAddress())
 	}
-	if b.config.ModifySettings != nil {
-		b.config.ModifySettings(&s)
+	if c.config.ModifySettings != nil {
+		c.config.ModifySettings(&s)
 	}
 	return s
 }
 
-func (b *Cluster) waitUntilReady() error {
+func (c *Cluster) waitUntilReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if b.ready() {
+		if c.ready() {
 			return nil
 		}
 		time.Sleep(readyPollInterval)
@@ -89,8 +89,8 @@
 
 // ready reports whether every host is serving and sees all others, so that they agree
 // on the homes.
-func (b *Cluster) ready() bool {
-	hosts := b.Hosts()
+func (c *Cluster) ready() bool {
+	hosts := c.Hosts()
 	for _, host := range hosts {
 		status := host.Status()
 		if !status.Ready || len(status.Hosts) < len(hosts) || !host.Serving() {
@@ -101,11 +101,11 @@
 }
 
 // Hosts returns the running entry hosts.
-func (b *Cluster) Hosts() []*RunningHost {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Cluster) Hosts() []*RunningHost {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var live []*RunningHost
-	for _, host := range b.hosts {
+	for _, host := range c.hosts {
 		if !host.Ended() {
 			live = append(live, host)
 		}
@@ -114,9 +114,9 @@
 }
 
 // CallerAddresses returns the addresses of the running hosts for callers.
-func (b *Cluster) CallerAddresses() []string {
+func (c *Cluster) CallerAddresses() []string {
 	var addresses []string
-	for _, host := range b.Hosts() {
+	for _, host := range c.Hosts() {
 		addresses = append(addresses, host.CallerAddress())
 	}
 	return addresses
--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package testbed runs a complete system in one process over loopback: stand-ins for
-// the platform and the backend servers, and entry hosts with a signed configuration.
-// It is for tests, the demo and the load tool.
+// Package testbed runs a complete cluster in one process over loopback: stand-ins
+// for the platform and the backend servers, and entry hosts with a signed
+// configuration. It is for tests, the demo and the load tool.
 package testbed
 
 import (
@@ -46,13 +46,13 @@
 	Time       standin.ServiceTime
 }
 
-// Config configures a system.
+// Config configures a Cluster.
 type Config struct {
 	Groups    []ServiceGroup
 	Hosts     int
 	Documents bundle.Documents
-	// ManualSnapshots makes servers hold only the snapshots that are added to them; otherwise
-	// they hold all.
+	// ManualSnapshots makes servers hold only the snapshots that are added to them;
+	// otherwise they hold all.
 	ManualSnapshots bool
 	// CrashMarker in a request body crashes the backend server.
 	CrashMarker string
@@ -62,7 +62,7 @@
 	ModifySettings func(*settings.Settings)
 }
 
-// Cluster is a running system.
+// Cluster is a platform, backend servers and entry hosts that run in this process.
 type Cluster struct {
 	Platform        *standin.Platform
 	PlatformAddress string
@@ -92,12 +92,12 @@
 	err    error
 }
 
-// Start starts the system and returns when all hosts are ready.
+// Start starts a cluster and returns when all its hosts are ready.
 func Start(ctx context.Context, config Config) (*Cluster, error) {
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
 	}
-	b := &Cluster{
+	c := &Cluster{
 		Platform: standin.NewPlatform(),
 		Record:   standin.NewRecord(),
 		config:   config,
@@ -105,44 +105,44 @@
 
 		published: make(map[publishedKey]int),
 	}
-	for _, step := range []func() error{b.startPlatform, b.makeKeys, b.startBackends, b.publishAll, b.submitFirstBundle, b.startHosts} {
+	for _, step := range []func() error{c.startPlatform, c.makeKeys, c.startBackends, c.publishAll, c.submitFirstBundle, c.startHosts} {
 		if err := step(); err != nil {
-			b.Close()
+			c.Close()
 			return nil, errors.Wrap(err, "testbed")
 		}
 	}
-	return b, nil
+	return c, nil
 }
 
-func (b *Cluster) startPlatform() error {
-	address, err := b.Platform.Start(anyPort)
-	b.PlatformAddress = address
+func (c *Cluster) startPlatform() error {
+	address, err := c.Platform.Start(anyPort)
+	c.PlatformAddress = address
 	return err
 }
 
-func (b *Cluster) makeKeys() error {
+func (c *Cluster) makeKeys() error {
 	var signerKeys []settings.Signer
 	for _, name := range []string{"author", "reviewer"} {
 		key, err := bundle.GenerateKey(name)
 		if err != nil {
 			return err
 		}
-		b.keys = append(b.keys, key)
+		c.keys = append(c.keys, key)
 		signerKeys = append(signerKeys, key.Signer())
 	}
 	signers, err := bundle.NewSigners(signerKeys)
-	b.signers = signers
+	c.signers = signers
 	return err
 }
 
 // ServiceName returns the name of a group's i-th service.
 func ServiceName(group string, i int) string { return fmt.Sprintf("%s-%02d", group, i) }
 
-func (b *Cluster) startBackends() error {
-	for _, group := range b.config.Groups {
+func (c *Cluster) startBackends() error {
+	for _, group := range c.config.Groups {
 		for i := range group.Services {
 			for j := range group.Servers {
-				if err := b.startBackend(group, i, j); err != nil {
+				if err := c.startBackend(group, i, j); err != nil {
 					return err
 				}
 			}
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (b *Cluster) startBackend(group ServiceGroup, service, server int) error {
+func (c *Cluster) startBackend(group ServiceGroup, service, server int) error {
 	name := ServiceName(group.Index, service)
 	config := standin.BackendConfig{
 		Name:           fmt.Sprintf("%s-%d", name, server),
@@ -162,26 +162,26 @@
 		QueueLimit:     group.QueueLimit,
 		MaxConnections: group.Connections,
 		ServiceTime:    group.Time,
-		CrashMarker:    b.config.CrashMarker,
-		Seed:           b.config.Seed,
-		Record:         b.Record,
+		CrashMarker:    c.config.CrashMarker,
+		Seed:           c.config.Seed,
+		Record:         c.Record,
 	}
-	if b.config.ManualSnapshots {
+	if c.config.ManualSnapshots {
 		config.HeldSnapshots = map[string][]snapshot.Version{}
 	}
 	standIn := standin.NewBackend(config)
 	if err := standIn.Start(anyPort); err != nil {
 		return err
 	}
-	b.Backends = append(b.Backends, standIn)
-	b.SetServerState(standIn, metastore.StateLive)
+	c.Backends = append(c.Backends, standIn)
+	c.SetServerState(standIn, metastore.StateLive)
 	return nil
 }
 
 // SetServerState adds a backend server to the host list or changes its state there.
-func (b *Cluster) SetServerState(standIn *standin.Backend, state metastore.HostState) {
+func (c *Cluster) SetServerState(standIn *standin.Backend, state metastore.HostState) {
 	server := standIn.Server()
-	b.Platform.AddHost(metastore.ListedHost{
+	c.Platform.AddHost(metastore.ListedHost{
 		Name:        server.Name,
 		Kind:        metastore.KindBackend,
 		Address:     server.Address,
@@ -194,9 +194,9 @@
 }
 
 // BackendsOfService returns the backend servers of a service.
-func (b *Cluster) BackendsOfService(service string) []*standin.Backend {
+func (c *Cluster) BackendsOfService(service string) []*standin.Backend {
 	var found []*standin.Backend
-	for _, standIn := range b.Backends {
+	for _, standIn := range c.Backends {
 		if standIn.Server().Service == service {
 			found = append(found, standIn)
 		}
@@ -204,12 +204,12 @@
 	return found
 }
 
-func (b *Cluster) publishAll() error {
-	for _, group := range b.config.Groups {
-		if b.config.ManualSnapshots {
-			b.AddSnapshotToAll(group.Index, 1)
+func (c *Cluster) publishAll() error {
+	for _, group := range c.config.Groups {
+		if c.config.ManualSnapshots {
+			c.AddSnapshotToAll(group.Index, 1)
 		}
-		if err := b.Publish(b.ShardMap(group.Index, 1)); err != nil {
+		if err := c.Publish(c.ShardMap(group.Index, 1)); err != nil {
 			return err
 		}
 	}
@@ -217,16 +217,16 @@
 }
 
 // AddSnapshotToAll adds a snapshot to all backend servers.
-func (b *Cluster) AddSnapshotToAll(index string, version snapshot.Version) {
-	for _, standIn := range b.Backends {
+func (c *Cluster) AddSnapshotToAll(index string, version snapshot.Version) {
+	for _, standIn := range c.Backends {
 		standIn.AddSnapshot(index, version)
 	}
 }
 
 // ShardMap returns a snapshot with one shard for each service of the index.
-func (b *Cluster) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
+func (c *Cluster) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Index: index, Version: version}
-	for _, group := range b.config.Groups {
+	for _, group := range c.config.Groups {
 		if group.Index != index {
 			continue
 		}
@@ -238,29 +238,29 @@
 }
 
 // Publish stores a snapshot in the platform, as an index builder does.
-func (b *Cluster) Publish(s *snapshot.Snapshot) error {
+func (c *Cluster) Publish(s *snapshot.Snapshot) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	b.published[publishedKey{s.Index, s.Version}] = len(s.Shards)
-	b.mu.Unlock()
+	c.mu.Lock()
+	c.published[publishedKey{s.Index, s.Version}] = len(s.Shards)
+	c.mu.Unlock()
 	key := fmt.Sprintf("%s%s/%d", catalog.SnapshotPrefix, s.Index, s.Version)
-	_, err = b.Platform.Put(b.ctx, key, raw, 0)
+	_, err = c.Platform.Put(c.ctx, key, raw, 0)
 	return err
 }
 
 // ShardCount returns the number of shards of a snapshot, or 0 if it isn't published.
-func (b *Cluster) ShardCount(index string, version snapshot.Version) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.published[publishedKey{index, version}]
+func (c *Cluster) ShardCount(index string, version snapshot.Version) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.published[publishedKey{index, version}]
 }
 
-func (b *Cluster) submitFirstBundle() error {
-	docs := b.config.Documents
-	for _, group := range b.config.Groups {
+func (c *Cluster) submitFirstBundle() error {
+	docs := c.config.Documents
+	for _, group := range c.config.Groups {
 		for i := range group.Services {
 			docs.Services = append(docs.Services, bundle.Service{
 				Name:                 ServiceName(group.Index, i),
@@ -269,28 +269,28 @@
 			})
 		}
 	}
-	b.config.Documents = docs
-	_, err := b.Submit(docs, "first")
+	c.config.Documents = docs
+	_, err := c.Submit(docs, "first")
 	return err
 }
 
 // Documents returns the documents of the first bundle.
-func (b *Cluster) Documents() bundle.Documents { return b.config.Documents }
+func (c *Cluster) Documents() bundle.Documents { return c.config.Documents }
 
 // Submit signs and submits documents as the next generation.
-func (b *Cluster) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
-	change, err := rollout.Propose(b.ctx, b.Platform, docs, bundle.Proposal{
-		Author:  b.keys[0].Name,
+func (c *Cluster) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
+	change, err := rollout.Propose(c.ctx, c.Platform, docs, bundle.Proposal{
+		Author:  c.keys[0].Name,
 		Reason:  reason,
 		Created: time.Now(),
 	})
 	if err != nil {
 		return rollout.SubmitResult{}, err
 	}
-	for _, key := range b.keys {
+	for _, key := range c.keys {
 		change = change.Sign(key)
 	}
-	return rollout.Submit(b.ctx, b.Platform, b.signers, change)
+	return rollout.Submit(c.ctx, c.Platform, c.signers, change)
 }
 
 // TokenHash returns the hexadecimal SHA-256 of a caller's token.
@@ -300,12 +300,12 @@
 }
 
 // Close stops everything immediately, without planned stops.
-func (b *Cluster) Close() {
-	for _, host := range b.Hosts() {
+func (c *Cluster) Close() {
+	for _, host := range c.Hosts() {
 		host.Kill()
 	}
-	for _, standIn := range b.Backends {
+	for _, standIn := range c.Backends {
 		_ = standIn.Close()
 	}
-	_ = b.Platform.Close()
+	_ = c.Platform.Close()
 }
