--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -1,7 +1,6 @@
-// Package testbed starts the whole system on loopback in one process: a
-// platform stand-in, backend server stand-ins in the users' shapes, and entry
-// hosts with a signed configuration in force. The demo, the load tool and the
-// tests over real sockets use it, and so can embedders' tests.
+// Package testbed runs a complete cluster in one process over loopback: stand-ins
+// for the platform and the backend servers, and entry hosts with a signed
+// configuration. It is for tests, the demo and the load tool.
 package testbed
 
 import (
@@ -27,58 +26,57 @@
 )
 
 const (
-	region = "local"
-	// readyWithin bounds the start of the whole bed.
-	readyWithin = 20 * time.Second
-	readyPoll   = 10 * time.Millisecond
-	anyPort     = "127.0.0.1:0"
+	region            = "local"
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	anyPort           = "127.0.0.1:0"
 )
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// ServiceGroup is a set of services of one shape, searched together as one index.
+// ServiceGroup is a set of identical services that form one index.
 type ServiceGroup struct {
 	Index       string
 	Services    int
 	Servers     int // per service
 	Slots       int // per server
 	Connections int // per server
-	// QueueLimit is how many calls a server lets wait; above it it refuses.
+	// QueueLimit is how many calls can wait at a server; more are refused.
 	QueueLimit int
 	Time       standin.ServiceTime
 }
 
-// Config shapes a bed.
+// Config configures a Cluster.
 type Config struct {
 	Groups    []ServiceGroup
 	Hosts     int
 	Documents bundle.Documents
-	// ManualSnapshots makes servers hold only the published snapshots they are told to;
-	// otherwise every server answers from any snapshot.
+	// ManualSnapshots makes servers hold only the snapshots that are added to them;
+	// otherwise they hold all.
 	ManualSnapshots bool
-	// CrashMarker in a request's body crashes a backend server.
+	// CrashMarker in a request body crashes the backend server.
 	CrashMarker string
 	Seed        uint64
 	Logger      *zap.Logger
-	// ModifySettings may change a host's settings before it starts.
+	// ModifySettings modifies a host's settings before it starts.
 	ModifySettings func(*settings.Settings)
 }
 
-// Cluster is a running system.
+// Cluster is a platform, backend servers and entry hosts that run in this process.
 type Cluster struct {
 	Platform        *standin.Platform
 	PlatformAddress string
 	Record          *standin.Record
-	Backends        []*standin.Backend // in the order of the groups
+	Backends        []*standin.Backend // in the order of Config.Groups
 	config          Config
 	signers         bundle.Signers
 	keys            []bundle.SigningKey
 	ctx             context.Context
 
-	mu        sync.Mutex
-	hosts     []*RunningHost
-	made      int
-	published map[publishedKey]int // number of shards
+	mu           sync.Mutex
+	hosts        []*RunningHost
+	startedHosts int
+	published    map[publishedKey]int // number of shards
 }
 
 type publishedKey struct {
@@ -86,7 +84,7 @@
 	version snapshot.Version
 }
 
-// RunningHost is one entry host of the bed.
+// RunningHost is an entry host that was started.
 type RunningHost struct {
 	*goldcrestspan.Host
 	cancel context.CancelFunc
@@ -94,12 +92,12 @@
 	err    error
 }
 
-// Start starts everything and returns when every host is ready.
+// Start starts a cluster and returns when all its hosts are ready.
 func Start(ctx context.Context, config Config) (*Cluster, error) {
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
 	}
-	b := &Cluster{
+	c := &Cluster{
 		Platform: standin.NewPlatform(),
 		Record:   standin.NewRecord(),
 		config:   config,
@@ -107,44 +105,44 @@
 
 		published: make(map[publishedKey]int),
 	}
-	for _, step := range []func() error{b.startPlatform, b.makeKeys, b.startBackends, b.publishAll, b.firstBundle, b.startHosts} {
+	for _, step := range []func() error{c.startPlatform, c.makeKeys, c.startBackends, c.publishAll, c.submitFirstBundle, c.startHosts} {
 		if err := step(); err != nil {
-			b.Close()
+			c.Close()
 			return nil, errors.Wrap(err, "testbed")
 		}
 	}
-	return b, nil
+	return c, nil
 }
 
-func (b *Cluster) startPlatform() error {
-	address, err := b.Platform.Start(anyPort)
-	b.PlatformAddress = address
+func (c *Cluster) startPlatform() error {
+	address, err := c.Platform.Start(anyPort)
+	c.PlatformAddress = address
 	return err
 }
 
-func (b *Cluster) makeKeys() error {
-	var public []settings.Signer
+func (c *Cluster) makeKeys() error {
+	var signerKeys []settings.Signer
 	for _, name := range []string{"author", "reviewer"} {
 		key, err := bundle.GenerateKey(name)
 		if err != nil {
 			return err
 		}
-		b.keys = append(b.keys, key)
-		public = append(public, key.Signer())
+		c.keys = append(c.keys, key)
+		signerKeys = append(signerKeys, key.Signer())
 	}
-	signers, err := bundle.NewSigners(public)
-	b.signers = signers
+	signers, err := bundle.NewSigners(signerKeys)
+	c.signers = signers
 	return err
 }
 
-// ServiceName is the name of a group's i-th service.
+// ServiceName returns the name of a group's i-th service.
 func ServiceName(group string, i int) string { return fmt.Sprintf("%s-%02d", group, i) }
 
-func (b *Cluster) startBackends() error {
-	for _, group := range b.config.Groups {
+func (c *Cluster) startBackends() error {
+	for _, group := range c.config.Groups {
 		for i := range group.Services {
 			for j := range group.Servers {
-				if err := b.startBackend(group, i, j); err != nil {
+				if err := c.startBackend(group, i, j); err != nil {
 					return err
 				}
 			}
@@ -153,7 +151,7 @@
 	return nil
 }
 
-func (b *Cluster) startBackend(group ServiceGroup, service, server int) error {
+func (c *Cluster) startBackend(group ServiceGroup, service, server int) error {
 	name := ServiceName(group.Index, service)
 	config := standin.BackendConfig{
 		Name:           fmt.Sprintf("%s-%d", name, server),
@@ -164,26 +162,26 @@
 		QueueLimit:     group.QueueLimit,
 		MaxConnections: group.Connections,
 		ServiceTime:    group.Time,
-		CrashMarker:    b.config.CrashMarker,
-		Seed:           b.config.Seed,
-		Record:         b.Record,
+		CrashMarker:    c.config.CrashMarker,
+		Seed:           c.config.Seed,
+		Record:         c.Record,
 	}
-	if b.config.ManualSnapshots {
+	if c.config.ManualSnapshots {
 		config.HeldSnapshots = map[string][]snapshot.Version{}
 	}
 	standIn := standin.NewBackend(config)
 	if err := standIn.Start(anyPort); err != nil {
 		return err
 	}
-	b.Backends = append(b.Backends, standIn)
-	b.SetServerState(standIn, metastore.StateLive)
+	c.Backends = append(c.Backends, standIn)
+	c.SetServerState(standIn, metastore.StateLive)
 	return nil
 }
 
-// SetServerState puts a backend server on the host list in a state.
-func (b *Cluster) SetServerState(standIn *standin.Backend, state metastore.HostState) {
+// SetServerState adds a backend server to the host list or changes its state there.
+func (c *Cluster) SetServerState(standIn *standin.Backend, state metastore.HostState) {
 	server := standIn.Server()
-	b.Platform.AddHost(metastore.ListedHost{
+	c.Platform.AddHost(metastore.ListedHost{
 		Name:        server.Name,
 		Kind:        metastore.KindBackend,
 		Address:     server.Address,
@@ -195,10 +193,10 @@
 	})
 }
 
-// BackendsOfService returns the servers of a service.
-func (b *Cluster) BackendsOfService(service string) []*standin.Backend {
+// BackendsOfService returns the backend servers of a service.
+func (c *Cluster) BackendsOfService(service string) []*standin.Backend {
 	var found []*standin.Backend
-	for _, standIn := range b.Backends {
+	for _, standIn := range c.Backends {
 		if standIn.Server().Service == service {
 			found = append(found, standIn)
 		}
@@ -206,29 +204,29 @@
 	return found
 }
 
-func (b *Cluster) publishAll() error {
-	for _, group := range b.config.Groups {
-		if b.config.ManualSnapshots {
-			b.HoldAll(group.Index, 1)
+func (c *Cluster) publishAll() error {
+	for _, group := range c.config.Groups {
+		if c.config.ManualSnapshots {
+			c.AddSnapshotToAll(group.Index, 1)
 		}
-		if err := b.Publish(b.ShardMap(group.Index, 1)); err != nil {
+		if err := c.Publish(c.ShardMap(group.Index, 1)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// HoldAll makes all servers hold a snapshot.
-func (b *Cluster) HoldAll(index string, version snapshot.Version) {
-	for _, standIn := range b.Backends {
+// AddSnapshotToAll adds a snapshot to all backend servers.
+func (c *Cluster) AddSnapshotToAll(index string, version snapshot.Version) {
+	for _, standIn := range c.Backends {
 		standIn.AddSnapshot(index, version)
 	}
 }
 
-// ShardMap makes the group's plain shard map: one shard for each service.
-func (b *Cluster) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
+// ShardMap returns a snapshot with one shard for each service of the index.
+func (c *Cluster) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Index: index, Version: version}
-	for _, group := range b.config.Groups {
+	for _, group := range c.config.Groups {
 		if group.Index != index {
 			continue
 		}
@@ -239,30 +237,30 @@
 	return s
 }
 
-// Publish puts a snapshot into the platform, as an index builder does.
-func (b *Cluster) Publish(s *snapshot.Snapshot) error {
+// Publish stores a snapshot in the platform, as an index builder does.
+func (c *Cluster) Publish(s *snapshot.Snapshot) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	b.published[publishedKey{s.Index, s.Version}] = len(s.Shards)
-	b.mu.Unlock()
+	c.mu.Lock()
+	c.published[publishedKey{s.Index, s.Version}] = len(s.Shards)
+	c.mu.Unlock()
 	key := fmt.Sprintf("%s%s/%d", catalog.SnapshotPrefix, s.Index, s.Version)
-	_, err = b.Platform.Put(b.ctx, key, raw, 0)
+	_, err = c.Platform.Put(c.ctx, key, raw, 0)
 	return err
 }
 
-// ShardCount is the number of shards of a published snapshot; 0: none such.
-func (b *Cluster) ShardCount(index string, version snapshot.Version) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.published[publishedKey{index, version}]
+// ShardCount returns the number of shards of a snapshot, or 0 if it isn't published.
+func (c *Cluster) ShardCount(index string, version snapshot.Version) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.published[publishedKey{index, version}]
 }
 
-func (b *Cluster) firstBundle() error {
-	docs := b.config.Documents
-	for _, group := range b.config.Groups {
+func (c *Cluster) submitFirstBundle() error {
+	docs := c.config.Documents
+	for _, group := range c.config.Groups {
 		for i := range group.Services {
 			docs.Services = append(docs.Services, bundle.Service{
 				Name:                 ServiceName(group.Index, i),
@@ -271,43 +269,43 @@
 			})
 		}
 	}
-	b.config.Documents = docs
-	_, err := b.Submit(docs, "first")
+	c.config.Documents = docs
+	_, err := c.Submit(docs, "first")
 	return err
 }
 
-// Documents are those of the first bundle, with the services of the groups.
-func (b *Cluster) Documents() bundle.Documents { return b.config.Documents }
+// Documents returns the documents of the first bundle.
+func (c *Cluster) Documents() bundle.Documents { return c.config.Documents }
 
 // Submit signs and submits documents as the next generation.
-func (b *Cluster) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
-	change, err := rollout.Propose(b.ctx, b.Platform, docs, bundle.Proposal{
-		Author:  b.keys[0].Name,
+func (c *Cluster) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
+	change, err := rollout.Propose(c.ctx, c.Platform, docs, bundle.Proposal{
+		Author:  c.keys[0].Name,
 		Reason:  reason,
 		Created: time.Now(),
 	})
 	if err != nil {
 		return rollout.SubmitResult{}, err
 	}
-	for _, key := range b.keys {
+	for _, key := range c.keys {
 		change = change.Sign(key)
 	}
-	return rollout.Submit(b.ctx, b.Platform, b.signers, change)
+	return rollout.Submit(c.ctx, c.Platform, c.signers, change)
 }
 
-// TokenHash is the hexadecimal SHA-256 of a caller's token, for documents.
+// TokenHash returns the hexadecimal SHA-256 of a caller's token.
 func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// Close ends everything at once, without planned stops.
-func (b *Cluster) Close() {
-	for _, host := range b.Hosts() {
+// Close stops everything immediately, without planned stops.
+func (c *Cluster) Close() {
+	for _, host := range c.Hosts() {
 		host.Kill()
 	}
-	for _, standIn := range b.Backends {
+	for _, standIn := range c.Backends {
 		_ = standIn.Close()
 	}
-	_ = b.Platform.Close()
+	_ = c.Platform.Close()
 }
