--- a/gateway/components.go
+++ b/gateway/components.go
@@ -131,7 +131,7 @@
 
 func (g *Gateway) newHomes(runner *crossZoneRunner, counters *observe.Metrics) *homeserver.Server {
 	homes := homeserver.New(loggingRunner{g.withEligibility(runner, g.checkOwn), g.log, g.options.Now, &g.attempts}, counters, noopObserver{}, g.options.Now, g.homesConfig)
-	homes.SetObserver(g.logServer)
+	homes.SetOnServerChange(g.logServer)
 	homes.SetConfigOverride(g.configureHome)
 	return homes
 }
--- a/homeserver/server.go
+++ b/homeserver/server.go
@@ -92,9 +92,9 @@
 // called before any leg runs.
 func (s *Server) SetConfigOverride(override ConfigOverride) { s.override = override }
 
-// SetObserver sets the function that is called on state changes of backend servers. It
+// SetOnServerChange sets the function that is called on state changes of backend servers. It
 // must be called before any leg runs; onChange must not block.
-func (s *Server) SetObserver(onChange func(service string, change home.ServerChange)) {
+func (s *Server) SetOnServerChange(onChange func(service string, change home.ServerChange)) {
 	s.onChange = onChange
 }
 
