--- a/home/cold.go
+++ b/home/cold.go
@@ -34,16 +34,17 @@
 	if s.spec.Warmup.PerSecond == 0 {
 		return until
 	}
-	if next := s.coldStarts.NextAllowed(s.spec.Warmup.PerSecond); next.Before(until) {
+	if next := s.recentStarts.NextAllowed(s.spec.Warmup.PerSecond); next.Before(until) {
 		return next
 	}
 	return until
 }
 
-// recordStart counts an attempt against the limit on a cold server.
+// recordStart counts an attempt against the limit on a cold server. Attempts before the
+// server turned cold count too.
 func (s *server) recordStart(now time.Time) {
 	if s.spec.Warmup.Duration > 0 {
-		s.coldStarts.Record(now, s.spec.Warmup.PerSecond)
+		s.recentStarts.Record(now, s.spec.Warmup.PerSecond)
 	}
 }
 
--- a/home/server.go
+++ b/home/server.go
@@ -37,7 +37,7 @@
 	serviceTimes []meanTime // indexed by class
 
 	draining            bool
-	warm                bool
+	warm                bool // slow start is over, whether or not the server counts as cold
 	slowStartReplies    int
 	reserveReportedLoad bool
 	answers             int // since the start of the incarnation
@@ -53,7 +53,7 @@
 
 	pipeline pipeline
 
-	coldStarts       eligible.SlidingWindow // attempts sent while cold
+	recentStarts     eligible.SlidingWindow // latest attempts, for the limit while cold
 	assumedColdUntil time.Time              // counts as cold until then, after a failed connection
 
 	reportedOthers int // requests of other hosts, as last reported by the server
@@ -96,7 +96,7 @@
 // usable reports whether the server may get requests now.
 func (s *server) usable(now time.Time) bool {
 	return s.inService() && !now.Before(s.pausedUntil) && !now.Before(s.ejectedUntil) &&
-		(!s.cold(now) || s.coldStarts.Allows(now, s.spec.Warmup.PerSecond))
+		(!s.cold(now) || s.recentStarts.Allows(now, s.spec.Warmup.PerSecond))
 }
 
 // availableAt returns when a server in service becomes usable.
@@ -112,7 +112,7 @@
 }
 
 // concurrency returns how many attempts the server may run at once. A server that has just
-// started gets a concurrency that grows with its answers, so that a cold server, which
+// started gets a concurrency that grows with its answers, so that a new server, which
 // looks idle, doesn't take a large part of the legs. If no server is warm there is no
 // slow start, since it would only remove capacity.
 func (s *server) concurrency(anyWarm bool) int {
--- a/home/stall.go
+++ b/home/stall.go
@@ -3,8 +3,8 @@
 import "time"
 
 // stalled reports whether the server seems stalled: its oldest request is older than
-// the slow quantile and nothing has been answered since that started. A paused server
-// looks free, and every leg sent to it would be stuck too.
+// stallAge and nothing has been answered since that started. A paused server looks free,
+// and every leg sent to it would be stuck too.
 func (h *Home) stalled(s *server, now time.Time) bool {
 	if len(s.running) == 0 {
 		return false
@@ -14,8 +14,9 @@
 	return age > 0 && !oldest.pipelined && now.Sub(oldest.started) >= age && !s.lastAnswer.After(oldest.started)
 }
 
-// stallAge returns the slow quantile of the class's service times, or 0 if not known
-// yet.
+// stallAge returns the age from which the oldest request at a server counts as stalled:
+// the slow quantile of the class's service times, or its default hedge delay while that
+// isn't known. 0 means that stalls aren't detected.
 func (h *Home) stallAge(c *class) time.Duration {
 	if !h.cfg.AvoidStalled {
 		return 0
--- a/home/state.go
+++ b/home/state.go
@@ -58,16 +58,16 @@
 	return c
 }
 
-// New returns the home of a service. Attempt IDs start after firstAttempt, so that the
+// New returns the home of a service. Its attempt IDs are above attemptIDBase, so that the
 // homes of one host never share one.
-func New(cfg Config, firstAttempt ident.AttemptID) *Home {
+func New(cfg Config, attemptIDBase ident.AttemptID) *Home {
 	cfg = cfg.withDefaults()
 	h := &Home{
 		cfg:         cfg,
 		classes:     make([]class, len(cfg.Classes)),
 		legs:        make(map[LegID]*leg),
 		attempts:    make(map[ident.AttemptID]*attempt),
-		lastAttempt: firstAttempt,
+		lastAttempt: attemptIDBase,
 		hedgeBudget: retry.NewPartialBudget(cfg.HedgeBudget, cfg.HedgeBurst, cfg.HedgeInitialFill),
 		retryBudget: retry.NewPartialBudget(cfg.RetryBudget, cfg.RetryBurst, cfg.RetryInitialFill),
 	}
@@ -92,7 +92,7 @@
 		if s == nil || s.spec.Incarnation != spec.Incarnation {
 			next := newServer(now, spec, &h.cfg, !h.hasServers && !now.Before(spec.ColdUntil))
 			if s != nil {
-				next.coldStarts = s.coldStarts // recent attempts may have reached the new incarnation
+				next.recentStarts = s.recentStarts // recent attempts may have reached the new incarnation
 			}
 			s = next
 		}
