--- a/gateway/components.go
+++ b/gateway/components.go
@@ -146,13 +146,13 @@
 	}
 }
 
-// newSharedHomes creates the homes of large searches and the links to them.
+// newSharedHomes creates the homes of split searches and the links to them.
 func (g *Gateway) newSharedHomes(local *homeserver.Server, members *member.Agent, pool *peer.Pool, forecasts *remoteForecasts) *homes {
 	links := exchange.NewClient(g.runCtx, pool, ident.HostID(g.options.Name), members.Incarnation(), g.options.Now)
 	links.Liveness = peerLinkLiveness
 	links.OnUnresponsive = forecasts.recordUnresponsive
 	return &homes{
-		self: ident.HostID(g.options.Name), zone: g.options.Zone, local: local, view: members.View, zones: g.serversByZone, split: g.sharedServices,
+		self: ident.HostID(g.options.Name), zone: g.options.Zone, local: local, view: members.View, zones: g.serversByZone, split: g.splitServices,
 		links: links, forecasts: forecasts, log: g.log,
 	}
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// coordinators run requests: plain uses only this host's homes, shared spreads searches over
-// the homes of several hosts.
+// coordinators run requests: plain uses only this host's homes, shared also the homes on
+// other hosts to which split searches are spread.
 type coordinators struct {
 	plain, shared *scatter.Coordinator
 	homes         *homes // used by shared
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// hedgeQuantile is the quantile of the service time after which a part is hedged.
+	// hedgeQuantile is the quantile of the service time after which a leg is hedged.
 	hedgeQuantile = 0.92
 	// hedgeShare and retryShare are the shares of the extra-attempt budget for hedges and
 	// retries. The rest is headroom for hosts that count the requests of a service
@@ -36,8 +36,8 @@
 	unknownClassHedgeFraction = 0.4
 	// defaultSlotsPerServer is for servers that do not report their concurrency.
 	defaultSlotsPerServer = 2
-	// maxQueuedParts bounds the queued parts of one class at one service.
-	maxQueuedParts = 400
+	// maxQueuedLegs bounds the queued legs of one class at one service.
+	maxQueuedLegs = 400
 )
 
 // Budget bounds the attempts at a service beyond the first of each request, summed over
@@ -126,7 +126,7 @@
 		r := &config.Routes[i]
 		if name := className(r); !seen[name] {
 			seen[name] = true
-			docs.Classes = append(docs.Classes, bundle.Class{Name: name, MaxQueue: maxQueuedParts})
+			docs.Classes = append(docs.Classes, bundle.Class{Name: name, MaxQueue: maxQueuedLegs})
 		}
 	}
 	for _, service := range config.Services {
--- a/gateway/cross_zone.go
+++ b/gateway/cross_zone.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspan/goldcrestspan/member"
 )
 
-// peerLinkLiveness applies to links that have a fallback. Parts can go to their server
+// peerLinkLiveness applies to links that have a fallback. Legs can go to their server
 // directly, so a peer is suspected after two lost pings.
 var peerLinkLiveness = exchange.LivenessTimeouts{
 	PingAfter:    40 * time.Millisecond,
@@ -23,7 +23,7 @@
 	DropAfter:    400 * time.Millisecond,
 }
 
-// maxProxiedBodyBytes bounds the bodies of requests that go through a peer: each part
+// maxProxiedBodyBytes bounds the bodies of requests that go through a peer: each leg
 // carries its own copy.
 const maxProxiedBodyBytes = 512
 
@@ -31,10 +31,10 @@
 // since proxying takes more CPU on both hosts.
 const maxProxyCPULoad = 0.6
 
-// crossZoneRunner runs parts at backend servers in other availability zones through a peer in
-// that zone. This saves billed cross-zone traffic: the request head crosses once for all
-// parts, and only the records that the merged answer can need come back. It is limited to
-// idempotent parts of merged answers; if no peer is available the call goes directly.
+// crossZoneRunner runs calls at backend servers in other availability zones through a peer in
+// that zone. This saves billed cross-zone traffic: the request head crosses once for all legs
+// of a search, and only the records that the merged answer can need come back. It is limited
+// to idempotent calls for merged answers; if no peer is available the call goes directly.
 type crossZoneRunner struct {
 	direct backend.Runner
 	zone   string
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -63,7 +63,7 @@
 	// EvacuationsPrefix is the store prefix of evacuated zones; empty if zones are never
 	// evacuated.
 	EvacuationsPrefix string
-	// Warmup bounds the load on cold servers.
+	// Warmup is how far the load on cold servers may exceed their service's warm-up rate.
 	Warmup eligible.WarmupTolerance
 	ReloadableOptions
 	// Capacity of this host in thousandths of a core, or less if its network link is the
@@ -163,7 +163,7 @@
 		events:       make(chan func(), eventQueueSize),
 		controlDone:  make(chan struct{}),
 		serverStates: make(map[string]serverState),
-		warming:      &warming{self: ident.HostID(options.Name), zone: options.Zone, bounds: options.Warmup},
+		warming:      &warming{self: ident.HostID(options.Name), zone: options.Zone, tolerance: options.Warmup},
 	}
 	newest, err := lru.New[string, uint64](maxTrackedServers)
 	if err != nil {
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -19,16 +19,16 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// homes decides which host is the home of each service. Services of small searches and of
-// single-service routes have their home on this host. Services of large searches are spread
-// over the hosts that entry.SearchHomes chooses for this host's zone.
+// homes decides which host is the home of each service. Services of split searches (see
+// entry.ShouldSplit) are spread over the hosts that entry.SearchHomes chooses for this host's
+// zone. All others have their home on this host.
 type homes struct {
 	self  ident.HostID
 	zone  string // availability zone of this host
 	local *homeserver.Server
 	view  func() *member.View
-	zones func() map[string]int
-	// split returns the services of large searches and the size of the largest search.
+	zones func() map[string]int // number of backend servers by availability zone
+	// split returns the services of split searches and the size of the largest search.
 	split     func() (services []place.Service, largest int)
 	links     *exchange.Client
 	forecasts *remoteForecasts
@@ -47,19 +47,19 @@
 	homes      *place.Homes            // nil if no service is spread
 }
 
-// Lookup implements scatter.Homes. The second home is this host, so that legs of a lost home
-// fail over without a third host. A home that owes replies and does not answer pings is
+// Lookup implements scatter.Homes. The fallback is this host, so that legs of a lost home fail
+// over without a third host. A home that owes replies and does not answer pings is
 // skipped, since membership takes seconds to notice that it is gone.
-func (h *homes) Lookup(service string) (first, second ident.HostID) {
+func (h *homes) Lookup(service string) (home, fallback ident.HostID) {
 	p := h.current()
 	if p.homes == nil {
 		return h.self, ""
 	}
-	first, _ = p.homes.Lookup(service)
-	if first == "" || first == h.self || h.links.Suspects(p.address[first]) {
+	home, _ = p.homes.Lookup(service)
+	if home == "" || home == h.self || h.links.Suspects(p.address[home]) {
 		return h.self, ""
 	}
-	return first, h.self
+	return home, h.self
 }
 
 // Runner implements scatter.Homes.
@@ -93,7 +93,7 @@
 
 // Forecast implements scatter.Homes.
 func (h *homes) Forecast(service, class string) leg.Forecast {
-	if first, _ := h.Lookup(service); first == h.self {
+	if home, _ := h.Lookup(service); home == h.self {
 		return h.local.Forecast(service, class)
 	}
 	return h.forecasts.forecast(service, class)
@@ -212,7 +212,7 @@
 }
 
 // Lookup implements scatter.Homes.
-func (h localHomes) Lookup(string) (first, second ident.HostID) { return h.self, "" }
+func (h localHomes) Lookup(string) (home, fallback ident.HostID) { return h.self, "" }
 
 // Runner implements scatter.Homes.
 func (h localHomes) Runner(ident.HostID) (leg.Runner, bool) { return h.local, true }
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -60,7 +60,7 @@
 // so that with many zones the sum would otherwise exceed the operator's bound.
 func (g *Gateway) divideBudget() {
 	view, zones := g.members.View(), g.serversByZone()
-	_, largest := g.sharedServices()
+	_, largest := g.splitServices()
 	hosts := int64(max(minBudgetHosts, len(entry.AdvisedHosts(view, zones))))
 	homes := budgetHomeCount(entry.HomesPerService(view, zones, largest))
 	previous, previousHomes := g.budgetHosts.Swap(hosts), g.budgetHomes.Swap(homes)
@@ -68,5 +68,5 @@
 		return
 	}
 	g.homes.ReapplyConfig()
-	g.log.Info("budget of extra arrivals shared", zap.Int64("hosts", hosts), zap.Int64("homes", homes))
+	g.log.Info("budget of extra attempts divided", zap.Int64("hosts", hosts), zap.Int64("homes", homes))
 }
--- a/gateway/split.go
+++ b/gateway/split.go
@@ -13,9 +13,9 @@
 	largestSplit int // services of the largest split search
 }
 
-// sharedServices returns the services whose homes are spread over hosts; see
+// splitServices returns the services whose homes are spread over hosts; see
 // entry.SearchHomes.
-func (g *Gateway) sharedServices() (services []place.Service, largestSplit int) {
+func (g *Gateway) splitServices() (services []place.Service, largestSplit int) {
 	if split := g.split.Load(); split != nil {
 		return split.services, split.largestSplit
 	}
--- a/gateway/warming.go
+++ b/gateway/warming.go
@@ -18,20 +18,20 @@
 // server is warmed by one host of its availability zone: the home of its service, or, for
 // services that are not spread, the zone's proxy. It is guarded by Gateway.serversMu.
 type warming struct {
-	self   ident.HostID
-	zone   string // availability zone of this host
-	bounds eligible.WarmupTolerance
+	self      ident.HostID
+	zone      string // availability zone of this host
+	tolerance eligible.WarmupTolerance
 	// services holds those whose servers get limited load while cold.
 	services map[string]eligible.Warmup
 
 	zoneRole              eligible.WarmupRole // to warm services that are not spread
 	homeRole              eligible.WarmupRole // to warm services whose home is here
-	placement             *place.Homes        // placement that homeTurn applies to
+	placement             *place.Homes        // placement that homeRole applies to
 	split                 map[string]bool
 	warmsZone, warmsHomed bool
 }
 
-// limits returns this host's bounds for servers of the service in the zone.
+// limits returns this host's limit for cold servers of the service in the zone.
 func (w *warming) limits(service, zone string) home.WarmupLimit {
 	warmup, bounded := w.services[service]
 	if !bounded {
@@ -39,7 +39,7 @@
 	}
 	limits := home.WarmupLimit{Duration: warmup.Duration}
 	if zone == w.zone && w.warms(service) {
-		limits.PerSecond = w.bounds.PerHostRate(warmup)
+		limits.PerSecond = w.tolerance.PerHostRate(warmup)
 	}
 	return limits
 }
@@ -48,8 +48,8 @@
 	if w.placement == nil || !w.split[service] {
 		return w.warmsZone
 	}
-	first, _ := w.placement.Lookup(service)
-	return w.warmsHomed && first == w.self
+	assigned, _ := w.placement.Lookup(service)
+	return w.warmsHomed && assigned == w.self
 }
 
 // configure sets the services with a warmup limit, and reports whether they have changed.
