--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -16,7 +16,7 @@
 type Homes interface {
 	// Lookup returns the home of the service and the host that takes over when the
 	// home is lost; empty when there is none.
-	Lookup(service string) (first, second ident.HostID)
+	Lookup(service string) (home, fallback ident.HostID)
 	// Runner returns what runs legs at a host; false when the host is unknown.
 	Runner(host ident.HostID) (leg.Runner, bool)
 	// Forecast predicts the queue and service time of a leg of the class sent now.
@@ -74,8 +74,8 @@
 	sentTo  []ident.HostID
 	// optional marks the shards that the query can do without.
 	optional   []bool
-	failedOver []bool // legs that were sent to the second home
-	mayHaveRun []bool // of these, legs that may have run at the first home
+	failedOver []bool // legs that were sent to a second home
+	mayHaveRun []bool // of these, legs that may have run at the lost home
 	started    time.Time
 	timings    []LegTiming
 	ended      atomic.Bool
@@ -202,8 +202,8 @@
 
 func (r *run) sendAll() {
 	for i, shard := range r.spec.Snapshot.Shards {
-		first, _ := r.c.homes.Lookup(shard.Service)
-		r.send(i, first)
+		home, _ := r.c.homes.Lookup(shard.Service)
+		r.send(i, home)
 	}
 }
 
@@ -279,8 +279,8 @@
 		return
 	}
 	if r.mayHaveRun[res.shard] && res.result.Outcome.NotRun() {
-		// The leg may have run at the first home before that was lost, so the
-		// second home's "not run" does not hold for the whole leg.
+		// The leg may have run at its home before that was lost, so a "not run"
+		// from the second home does not hold for the whole leg.
 		res.result.Outcome = result.OutcomeUnknown
 	}
 	r.c.counter.Verdict(r.query.AddResult(res.result))
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -53,12 +53,12 @@
 
 // CutOff is when a query answers with the parts that it has, so that the answer
 // reaches the caller before its deadline even when one of many shards straggles.
-func CutOff(now, deadline time.Time, prefer bundle.PartialStrategy) time.Time {
+func CutOff(started, deadline time.Time, prefer bundle.PartialStrategy) time.Time {
 	share := latencyReserve
 	if prefer == bundle.PreferCoverage {
 		share = coverageReserve
 	}
-	left := deadline.Sub(now)
+	left := deadline.Sub(started)
 	reserve := time.Duration(share * float64(left))
 	reserve = min(max(reserve, minReserve), maxReserve)
 	return deadline.Add(-reserve)
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -5,7 +5,7 @@
 	"github.com/goldcrestspan/goldcrestspan/result"
 )
 
-// failOver sends a leg to the second home when the first one is lost, and reports
+// failOver sends a leg to another home when the one that has it is lost, and reports
 // whether it did. Without it, every query's leg for the services of a lost entry
 // host would be missing until membership notices. A leg fails over only once,
 // and one that may have run only if it is idempotent.
@@ -33,11 +33,11 @@
 }
 
 // otherHome is the home to try when the one that the leg was sent to is lost: the
-// first home if it has changed since the leg was sent, otherwise the second.
+// service's home if it has changed since the leg was sent, otherwise the fallback.
 func (r *run) otherHome(shard int) ident.HostID {
-	first, second := r.c.homes.Lookup(r.spec.Snapshot.Shards[shard].Service)
-	if first != r.sentTo[shard] {
-		return first
+	home, fallback := r.c.homes.Lookup(r.spec.Snapshot.Shards[shard].Service)
+	if home != r.sentTo[shard] {
+		return home
 	}
-	return second
+	return fallback
 }
