--- a/admit/backlog.go
+++ b/admit/backlog.go
@@ -92,9 +92,9 @@
 	e.capacity = max(e.capacity, minCapacity)
 }
 
-// maxBacklog is the longest backlog that a request with the time left is
+// backlogLimit is the longest backlog that a request with the time left is
 // admitted behind.
-func (cl *class) maxBacklog(left time.Duration) time.Duration {
+func (cl *class) backlogLimit(left time.Duration) time.Duration {
 	bound := max(maxBacklog, maxBacklogServiceTimes*cl.pressure.meanService())
 	return min(bound, time.Duration(maxBacklogShare*float64(left)))
 }
@@ -104,7 +104,7 @@
 // collapses under saturation: servers work on requests that are already late.
 func (c *Controller) checkBacklog(now time.Time, cl *class, requester *caller, deadline time.Time, left time.Duration) *result.Error {
 	ahead := seconds(float64(cl.deadlines.countUpTo(deadline)) / cl.capacity)
-	bound := cl.maxBacklog(left)
+	bound := cl.backlogLimit(left)
 	if ahead > bound {
 		cl.backlogRefusals++
 		return c.refuseBacklog(now, cl, ahead-bound, ahead > left)
