--- a/entry/advised_hosts.go
+++ b/entry/advised_hosts.go
@@ -24,7 +24,7 @@
 //
 // With few advised hosts each sees most of the load of a backend server, so that its
 // decisions are good and its connections are reused. There is at least one in each zone
-// with many servers, at least minActiveHosts in all, and more under load. Larger hosts
+// with many servers, at least minAdvisedHosts in all, and more under load. Larger hosts
 // are preferred, then those that have run longest, so that a restart moves no other
 // callers.
 func AdvisedHosts(view *member.View, serversIn map[string]int) []member.Host {
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -20,21 +20,21 @@
 
 // RegionOrder returns the sets of regions whose hosts a caller should use, best first.
 // The hosts of the first set that has any are advised, or those of all regions if none
-// has. bound are the regions that the caller's requests are restricted to, if any;
+// has. allowed are the regions that the caller's requests are restricted to, if any;
 // serves reports whether a region has backend servers.
 //
-// The caller's own region comes first if it may serve the request there; otherwise the
-// regions that the caller is bound to, so that only one hop crosses regions; then its
-// own, whose hosts forward requests.
-func RegionOrder(own string, bound []string, serves func(region string) bool) [][]string {
+// The caller's own region comes first if the request may be served there; otherwise the
+// allowed regions, so that only one hop crosses regions; then its own, whose hosts
+// forward requests.
+func RegionOrder(own string, allowed []string, serves func(region string) bool) [][]string {
 	var order [][]string
 	switch {
-	case len(bound) == 0 && own != "" && serves(own):
+	case len(allowed) == 0 && own != "" && serves(own):
 		order = append(order, []string{own})
-	case len(bound) > 0 && slices.Contains(bound, own):
-		order = append(order, []string{own}, bound)
-	case len(bound) > 0:
-		order = append(order, bound)
+	case len(allowed) > 0 && slices.Contains(allowed, own):
+		order = append(order, []string{own}, allowed)
+	case len(allowed) > 0:
+		order = append(order, allowed)
 		if own != "" {
 			order = append(order, []string{own})
 		}
--- a/entry/search_homes.go
+++ b/entry/search_homes.go
@@ -27,14 +27,14 @@
 func ShouldSplit(services int) bool { return services >= minSplitServices }
 
 // SearchHomes chooses the hosts that share the services of the largest search, for
-// roots in the availability zone. It returns nil if each host runs its searches alone.
-// serversIn is the number of backend servers by zone, services the number of services
-// of the search.
+// searches coordinated by a host of the availability zone. It returns nil if each host
+// runs its searches alone. serversIn is the number of backend servers by zone, services
+// the number of services of the search.
 //
 // Only large hosts take part, since the slowest one decides the latency. Hosts of the
-// root's own zone are preferred, to save traffic between zones, if the zone has backend
-// servers and enough capacity; otherwise equally many of each such zone, so that the
-// loss of one zone leaves the others.
+// coordinating host's own zone are preferred, to save traffic between zones, if the zone
+// has backend servers and enough capacity; otherwise equally many of each such zone, so
+// that the loss of one zone leaves the others.
 func SearchHomes(view *member.View, serversIn map[string]int, services int, zone string) []member.Host {
 	if !ShouldSplit(services) {
 		return nil
--- a/entry/search_homes_test.go
+++ b/entry/search_homes_test.go
@@ -28,7 +28,7 @@
 }
 
 // Guards against running a large search on one host, and against crossing zones when
-// the root's own zone has enough capacity.
+// the coordinating host's own zone has enough capacity.
 func TestLargeSearchIsSharedWithinZone(t *testing.T) {
 	is := is.New(t)
 	view, serversIn := largeFleet()
