--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -19,10 +19,10 @@
 	// this close to a crash, the cause is a rack or zone outage.
 	massCrashWindow = time.Second
 	// minEvents is how many separate events a verdict needs, since one event
-	// can be a coincidence; minEventsIfProven is the same for a request that
+	// can be a coincidence; minEventsIfAnswered is the same for a request that
 	// was answered lately, which does not crash every server.
-	minEvents         = 2
-	minEventsIfProven = 3
+	minEvents           = 2
+	minEventsIfAnswered = 3
 	// extraCrashes above the required number of servers make up for different
 	// servers in a service that has too few.
 	extraCrashes = 2
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -65,7 +65,7 @@
 
 func (r *Registry) requiredEvents(now time.Time, f Fingerprint) int {
 	if answered, ok := r.lastSuccess.Peek(f); ok && now.Sub(answered) <= evidenceTTL {
-		return minEventsIfProven
+		return minEventsIfAnswered
 	}
 	return minEvents
 }
