--- a/homeserver/server.go
+++ b/homeserver/server.go
@@ -145,15 +145,15 @@
 // SetServers replaces the backend servers of all services.
 func (s *Server) SetServers(known map[string][]KnownServer) {
 	s.mu.Lock()
-	open := make([]*service, 0, len(s.services))
+	changed := make([]*service, 0, len(s.services))
 	for name, svc := range s.services {
 		if !slices.Equal(known[name], s.known[name]) {
-			open = append(open, svc)
+			changed = append(changed, svc)
 		}
 	}
 	s.known = known
 	s.mu.Unlock()
-	for _, svc := range open {
+	for _, svc := range changed {
 		svc.setServers(known[svc.name])
 	}
 }
@@ -218,8 +218,8 @@
 		return nil
 	}
 	s.nextHome++
-	first := ident.AttemptID(s.nextHome * attemptIDsPerHome)
-	svc := newService(s, name, home.New(s.homeConfig(s.config, spec), first))
+	attemptIDBase := ident.AttemptID(s.nextHome * attemptIDsPerHome)
+	svc := newService(s, name, home.New(s.homeConfig(s.config, spec), attemptIDBase))
 	s.services[name] = svc
 	svc.setServers(s.known[name])
 	return svc
--- a/homeserver/service.go
+++ b/homeserver/service.go
@@ -32,7 +32,7 @@
 	request     leg.Request
 	done        func(leg.Result)
 	submittedAt time.Time
-	wait        time.Duration // time until the first attempt; leg.UnknownQueueTime before that
+	queueTime   time.Duration // time until the first attempt; leg.UnknownQueueTime before that
 	attempts    int
 	hedges      int
 	// snapshotNotHeld is set if the last attempt was refused because the server lacks
@@ -68,7 +68,7 @@
 
 func (s *service) submit(id home.LegID, class int, request leg.Request, done func(leg.Result)) {
 	s.decide(func(now time.Time, acts []home.Action) []home.Action {
-		s.legs[id] = &openLeg{request: request, done: done, submittedAt: now, wait: leg.UnknownQueueTime}
+		s.legs[id] = &openLeg{request: request, done: done, submittedAt: now, queueTime: leg.UnknownQueueTime}
 		return s.home.Submit(now, home.Leg{
 			ID:           id,
 			Request:      request.Request,
@@ -180,7 +180,7 @@
 func (s *service) start(act home.Action) {
 	l := s.legs[act.Leg]
 	if l.attempts == 0 {
-		l.wait = s.server.now().Sub(l.submittedAt)
+		l.queueTime = s.server.now().Sub(l.submittedAt)
 	}
 	l.attempts++
 	if act.Hedge {
@@ -249,7 +249,7 @@
 	r := leg.Failed(l.request, act.Code, act.Outcome, "")
 	r.Attempts = l.attempts
 	r.Hedges = l.hedges
-	r.QueueTime = l.wait
+	r.QueueTime = l.queueTime
 	r.RetryAfter = act.RetryAfter
 	r.Reply = l.reply
 	if l.snapshotNotHeld {
