--- a/place/cache.go
+++ b/place/cache.go
@@ -18,7 +18,7 @@
 type cacheEntry struct {
 	view     *member.View
 	services []Service
-	serving  uint64
+	serving  uint64 // servingHash of the view
 	homes    *Homes
 }
 
