--- a/leg/leg.go
+++ b/leg/leg.go
@@ -1,5 +1,5 @@
-// Package leg defines the messages between the root of a query and the homes of its
-// services. A leg is one shard's part of a request.
+// Package leg defines the messages between the coordinating host of a query, which gathers
+// the answer, and the homes of its services. A leg is one shard's part of a request.
 package leg
 
 import (
@@ -56,8 +56,8 @@
 	FullAnswer bool
 }
 
-// Result is how a leg ended. The root checks the echoed Request and Shard before it
-// uses the rest.
+// Result is how a leg ended. The coordinating host checks the echoed Request and Shard
+// before it uses the rest.
 type Result struct {
 	Request  ident.RequestID
 	Shard    snapshot.ShardID
