--- a/exchange/link.go
+++ b/exchange/link.go
@@ -24,7 +24,7 @@
 }
 
 // defaultLiveness drops a link after four lost pings, within the deadline of most queries, so
-// that their legs can move to the second home.
+// that their legs can fail over to another home.
 var defaultLiveness = LivenessTimeouts{PingAfter: 200 * time.Millisecond, SuspectAfter: 500 * time.Millisecond, DropAfter: time.Second}
 
 // idleTimeout is how long a stream stays open without legs.
--- a/exchange/reply_batcher.go
+++ b/exchange/reply_batcher.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// replyReserve is how long before its legs are due a home sends its replies; it covers a
-	// network path between zones and two busy hosts.
+	// replyReserve is how long before the soft deadline of its legs a home sends its replies;
+	// it covers a network path between zones and two busy hosts.
 	replyReserve = 4 * time.Millisecond
 	// unresponsiveCheckInterval is how often a home with overdue replies checks for
 	// unresponsive services.
 	unresponsiveCheckInterval = 100 * time.Millisecond
 )
 
-// replyBatcher holds the replies to one search's legs at this host until all are there or due,
-// and then sends them together. Without batches, the coordinating host spends much of its CPU
-// on system calls for a search over many services. Replies after the due time go at once.
+// replyBatcher holds the replies to one search's legs at this host until all are there or their
+// soft deadline nears, and then sends them together. Without batches, the coordinating host
+// spends much of its CPU on system calls for a search over many services. Replies after the
+// due time go at once.
 type replyBatcher struct {
 	send         func([]item)
 	unresponsive func(service string) bool
 	now          func() time.Time
-	due          time.Time // zero: replies are not held
+	due          time.Time // the legs' soft deadline less replyReserve; zero: replies are not held
 
 	mu     sync.Mutex
 	open   map[uint64]string // services, by the sender's leg number
