--- a/admit/admit.go
+++ b/admit/admit.go
@@ -51,9 +51,9 @@
 type LegTiming struct {
 	Service string
 	Time    time.Duration // from admission until its reply, or until it was given up
-	// Wait is the part of Time that the leg waited at its home for a slot;
+	// QueueTime is the part of Time that the leg waited at its home for a slot;
 	// negative when it is not known.
-	Wait time.Duration
+	QueueTime time.Duration
 	// TimedOut legs got no reply in time; Time is then only a lower bound.
 	TimedOut bool
 }
--- a/admit/pressure.go
+++ b/admit/pressure.go
@@ -24,11 +24,11 @@
 }
 
 func (p *pressure) add(leg *LegTiming) {
-	if leg.Wait < 0 {
+	if leg.QueueTime < 0 {
 		return
 	}
-	p.wait += leg.Wait.Seconds()
-	p.service += max(0, (leg.Time - leg.Wait).Seconds())
+	p.wait += leg.QueueTime.Seconds()
+	p.service += max(0, (leg.Time - leg.QueueTime).Seconds())
 	p.legs++
 	p.quiet = 0
 }
--- a/answers.go
+++ b/answers.go
@@ -71,7 +71,7 @@
 		Legs:      make([]admit.LegTiming, len(answer.Legs)),
 	}
 	for i, l := range answer.Legs {
-		o.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, Wait: l.Wait, TimedOut: l.TimedOut}
+		o.Legs[i] = admit.LegTiming{Service: l.Service, Time: l.Time, QueueTime: l.QueueTime, TimedOut: l.TimedOut}
 	}
 	return o
 }
@@ -158,7 +158,7 @@
 		region = h.parts.Settings.Host.Region
 	}
 	asker := entry.AdviceRequest{Key: key, Region: region, Zone: zone}
-	keep := time.Duration(h.Config().Policy.AdviceFor)
+	keep := time.Duration(h.Config().Policy.AdviceTTL)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return h.parts.Advisor.Advise(h.parts.Member.View(), asker, keep, random)
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -53,9 +53,9 @@
 	Snapshot    snapshot.Version
 	Load        Load
 	Incarnation uint64
-	// Held are the snapshots of the call's index that the server holds, newest
+	// HeldSnapshots are the snapshots of the call's index that the server holds, newest
 	// first, if it says so.
-	Held []snapshot.Version
+	HeldSnapshots []snapshot.Version
 	// Forwarded is the reply to a forwarded request; nil: there is none.
 	Forwarded *forward.Reply
 }
@@ -73,12 +73,12 @@
 	FaultSnapshotNotHeld        // refused before run: the replica lacks the snapshot
 	FaultDeadline               // no reply by the deadline: unknown
 	FaultCancelled              // cancelled by us while it ran: unknown
-	FaultSilent                 // the connection went silent: unknown
-	FaultBroken                 // the connection broke after sending: unknown
-	FaultHalfReply              // length or digest is wrong: unknown
-	FaultCrossed                // the echoes are another request's: unknown
+	FaultUnresponsive           // the connection went silent: unknown
+	FaultConnectionLost         // the connection broke after sending: unknown
+	FaultCorruptReply           // length or digest is wrong: unknown
+	FaultMisroutedReply         // the echoes are another request's: unknown
 	FaultSnapshotMismatch       // answered from another snapshot: ran, not usable
-	FaultServer                 // ran and failed
+	FaultServerError            // ran and failed
 	FaultPeerLost               // the host that passed the call on was lost: unknown
 	FaultNotAllowed             // the rules of this moment keep it from the server: unsent
 )
@@ -96,22 +96,22 @@
 	return faultNames[f]
 }
 
-// Attempt is the end of one Call: what is known of it, and the reply if any.
-type Attempt struct {
+// CallResult is the end of one Call: what is known of it, and the reply if any.
+type CallResult struct {
 	Outcome result.Outcome
 	Fault   Fault
 	Reply   Reply // set when Fault is FaultNone
-	// KeepFor is how long the server keeps the idle connection; zero: not said.
-	KeepFor time.Duration
+	// KeepAliveTimeout is how long the server keeps the idle connection; zero: not said.
+	KeepAliveTimeout time.Duration
 	// RetryAfter is the server's own word on when to come back; zero: none.
 	RetryAfter time.Duration
 }
 
 // Usable reports whether the attempt's reply may go into an answer.
-func (a Attempt) Usable() bool { return a.Outcome == result.OutcomeRan && a.Fault == FaultNone }
+func (a CallResult) Usable() bool { return a.Outcome == result.OutcomeRan && a.Fault == FaultNone }
 
 // Runner runs calls on backend servers. It returns at the latest when ctx
 // ends, and never claims OutcomeUnsent or OutcomeRefused without proof.
 type Runner interface {
-	Run(ctx context.Context, server Server, call Call) Attempt
+	Run(ctx context.Context, server Server, call Call) CallResult
 }
--- a/backend/client.go
+++ b/backend/client.go
@@ -36,21 +36,21 @@
 	// ConnectionsPerServer bounds this host's connections to each server;
 	// default 24.
 	ConnectionsPerServer int
-	// Limit gives the bound for each server in place of ConnectionsPerServer.
+	// ConnectionLimit gives the bound for each server in place of ConnectionsPerServer.
 	// It is asked at each call and must be cheap; nil: none.
-	Limit func(Server) int
+	ConnectionLimit func(Server) int
 	// MaxReplyBytes bounds one reply's body; default 4 MiB.
 	MaxReplyBytes int64
 	// DialTimeout bounds a new connection; default 500 ms.
 	DialTimeout time.Duration
-	// SilenceBound is how long a connection with work may bring no bytes
+	// ReadIdleTimeout is how long a connection with work may bring no bytes
 	// before the server is asked, on another one, whether it still runs the
 	// call; default 1 s, negative: never.
-	SilenceBound time.Duration
+	ReadIdleTimeout time.Duration
 	// ProbeTimeout bounds that question; default 500 ms.
 	ProbeTimeout time.Duration
-	// IdleFor is how long an idle connection is kept; default 30 s.
-	IdleFor time.Duration
+	// IdleTimeout is how long an idle connection is kept; default 30 s.
+	IdleTimeout time.Duration
 	// FreshFor is how recently a connection must have been used to carry a
 	// call that is not idempotent; default 2 s.
 	FreshFor time.Duration
@@ -64,9 +64,9 @@
 	orDefault(&o.ConnectionsPerServer, defaultConnections)
 	orDefault(&o.MaxReplyBytes, defaultReplyBytes)
 	orDefault(&o.DialTimeout, defaultDialTimeout)
-	orDefault(&o.SilenceBound, defaultSilenceBound)
+	orDefault(&o.ReadIdleTimeout, defaultSilenceBound)
 	orDefault(&o.ProbeTimeout, defaultProbeTimeout)
-	orDefault(&o.IdleFor, defaultIdleFor)
+	orDefault(&o.IdleTimeout, defaultIdleFor)
 	orDefault(&o.FreshFor, defaultFreshFor)
 	if o.Protocol == nil {
 		o.Protocol = nativeProtocol{maxReplyBytes: o.MaxReplyBytes}
@@ -83,11 +83,11 @@
 
 // Stats counts what the Client did since it was made.
 type Stats struct {
-	Dials       uint64 // connections opened, probes included
-	Probes      uint64 // questions after a silence
-	Silent      uint64 // connections dropped as silent
-	Crossed     uint64 // replies dropped as another request's
-	HalfReplies uint64 // replies dropped for their length or digest
+	Dials            uint64 // connections opened, probes included
+	Probes           uint64 // questions after a silence
+	Silent           uint64 // connections dropped as silent
+	MisroutedReplies uint64 // replies dropped as another request's
+	CorruptReplies   uint64 // replies dropped for their length or digest
 }
 
 // Client is the HTTP Runner. It never sends a call twice: each goes out on one
@@ -122,16 +122,16 @@
 // Stats returns the counts so far.
 func (c *Client) Stats() Stats {
 	return Stats{
-		Dials:       c.dials.Load(),
-		Probes:      c.probes.Load(),
-		Silent:      c.silent.Load(),
-		Crossed:     c.crossed.Load(),
-		HalfReplies: c.half.Load(),
+		Dials:            c.dials.Load(),
+		Probes:           c.probes.Load(),
+		Silent:           c.silent.Load(),
+		MisroutedReplies: c.crossed.Load(),
+		CorruptReplies:   c.half.Load(),
 	}
 }
 
 // Run implements Runner.
-func (c *Client) Run(ctx context.Context, server Server, call Call) Attempt {
+func (c *Client) Run(ctx context.Context, server Server, call Call) CallResult {
 	if end, ok := ctx.Deadline(); !ok || end.After(call.Deadline) {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, call.Deadline)
@@ -143,7 +143,7 @@
 	}
 	attempt, reusable := c.exchange(ctx, server, link, call)
 	if reusable {
-		link.keepFor = attempt.KeepFor
+		link.keepFor = attempt.KeepAliveTimeout
 		p.put(link, time.Now())
 		return attempt
 	}
@@ -153,11 +153,11 @@
 }
 
 // unsent classifies a failure to get a connection: no byte of the call left.
-func unsent(err error) Attempt {
+func unsent(err error) CallResult {
 	if errors.Is(err, errNoConnection) {
-		return Attempt{Outcome: result.OutcomeUnsent, Fault: FaultConnectionLimit}
+		return CallResult{Outcome: result.OutcomeUnsent, Fault: FaultConnectionLimit}
 	}
-	return Attempt{Outcome: result.OutcomeUnsent, Fault: FaultUnreachable}
+	return CallResult{Outcome: result.OutcomeUnsent, Fault: FaultUnreachable}
 }
 
 // connect takes an idle connection or dials one.
@@ -166,7 +166,7 @@
 // moment ago: on one that went silent while idle it would end as unknown
 // though it never ran, and an unknown booking costs a person's time.
 func (c *Client) connect(ctx context.Context, server Server, call Call) (*pool, *conn, error) {
-	fresh := c.options.IdleFor
+	fresh := c.options.IdleTimeout
 	if !call.Idempotent {
 		fresh = c.options.FreshFor
 	}
@@ -195,7 +195,7 @@
 
 // exchange sends the call on the connection and reads its reply. reusable is
 // false when the connection must be dropped.
-func (c *Client) exchange(ctx context.Context, server Server, link *conn, call Call) (attempt Attempt, reusable bool) {
+func (c *Client) exchange(ctx context.Context, server Server, link *conn, call Call) (attempt CallResult, reusable bool) {
 	before := link.wire.mark()
 	watch := c.watchSilence(ctx, server, link, call)
 	defer watch.stop()
@@ -213,14 +213,14 @@
 
 // classify counts replies that can't be believed, and says why one that is not
 // whole broke off.
-func (c *Client) classify(ctx context.Context, watch *silenceWatch, attempt Attempt, err error) Attempt {
+func (c *Client) classify(ctx context.Context, watch *silenceWatch, attempt CallResult, err error) CallResult {
 	switch {
 	case err != nil && (watch.silent.Load() || ctx.Err() != nil):
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: brokenFault(ctx, watch)}
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: brokenFault(ctx, watch)}
 	case err != nil:
 		c.half.Add(1)
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultHalfReply}
-	case attempt.Fault == FaultCrossed:
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultCorruptReply}
+	case attempt.Fault == FaultMisroutedReply:
 		c.crossed.Add(1)
 	}
 	return attempt
@@ -228,22 +228,22 @@
 
 // sendFailure classifies a call that got no head of a reply. Only the proof
 // that no write was begun makes it unsent.
-func sendFailure(ctx context.Context, watch *silenceWatch, written bool) Attempt {
+func sendFailure(ctx context.Context, watch *silenceWatch, written bool) CallResult {
 	fault := brokenFault(ctx, watch)
 	if !written {
-		if fault == FaultBroken {
+		if fault == FaultConnectionLost {
 			fault = FaultUnreachable
 		}
-		return Attempt{Outcome: result.OutcomeUnsent, Fault: fault}
+		return CallResult{Outcome: result.OutcomeUnsent, Fault: fault}
 	}
-	return Attempt{Outcome: result.OutcomeUnknown, Fault: fault}
+	return CallResult{Outcome: result.OutcomeUnknown, Fault: fault}
 }
 
 // brokenFault says why a connection with a call in flight gave no whole reply.
 func brokenFault(ctx context.Context, watch *silenceWatch) Fault {
 	switch {
 	case watch.silent.Load():
-		return FaultSilent
+		return FaultUnresponsive
 	case !time.Now().Before(watch.call.Deadline):
 		// Asked of the clock, not of ctx: a server that gives up at the deadline
 		// can break the connection before our timer has fired, and must not
@@ -252,7 +252,7 @@
 	case ctx.Err() != nil:
 		return FaultCancelled
 	default:
-		return FaultBroken
+		return FaultConnectionLost
 	}
 }
 
--- a/backend/metrics.go
+++ b/backend/metrics.go
@@ -14,8 +14,8 @@
 		{"dials_total", "Connections opened to backend servers.", func(s Stats) uint64 { return s.Dials }},
 		{"probes_total", "Questions to backend servers after a silence.", func(s Stats) uint64 { return s.Probes }},
 		{"silent_connections_total", "Connections dropped as silent.", func(s Stats) uint64 { return s.Silent }},
-		{"crossed_replies_total", "Replies dropped as another request's.", func(s Stats) uint64 { return s.Crossed }},
-		{"half_replies_total", "Replies dropped for their length or digest.", func(s Stats) uint64 { return s.HalfReplies }},
+		{"crossed_replies_total", "Replies dropped as another request's.", func(s Stats) uint64 { return s.MisroutedReplies }},
+		{"half_replies_total", "Replies dropped for their length or digest.", func(s Stats) uint64 { return s.CorruptReplies }},
 	}
 	for _, counter := range counters {
 		collector := prometheus.NewCounterFunc(
--- a/backend/pools.go
+++ b/backend/pools.go
@@ -47,7 +47,7 @@
 		p = &pool{}
 		c.pools[server.Address] = p
 		if len(c.pools) == 1 {
-			c.sweeper = time.AfterFunc(c.options.IdleFor/2, c.sweep)
+			c.sweeper = time.AfterFunc(c.options.IdleTimeout/2, c.sweep)
 		}
 	}
 	return p
@@ -60,19 +60,19 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for address, p := range c.pools {
-		if p.expire(now, c.options.IdleFor) {
+		if p.expire(now, c.options.IdleTimeout) {
 			delete(c.pools, address)
 		}
 	}
 	if len(c.pools) > 0 {
-		c.sweeper.Reset(c.options.IdleFor / 2)
+		c.sweeper.Reset(c.options.IdleTimeout / 2)
 	}
 }
 
 // limit is this host's share of the server's connection limit.
 func (c *Client) limit(server Server) int {
-	if c.options.Limit == nil {
+	if c.options.ConnectionLimit == nil {
 		return c.options.ConnectionsPerServer
 	}
-	return c.options.Limit(server)
+	return c.options.ConnectionLimit(server)
 }
--- a/backend/protocol.go
+++ b/backend/protocol.go
@@ -22,7 +22,7 @@
 	Request(server Server, call Call) *http.Request
 	// Read takes a reply in, to its last byte. reusable is false when the
 	// connection must be dropped. An error says that the reply was not whole.
-	Read(response *http.Response, call Call) (attempt Attempt, reusable bool, err error)
+	Read(response *http.Response, call Call) (attempt CallResult, reusable bool, err error)
 }
 
 // nativeProtocol is the product's own.
@@ -51,9 +51,9 @@
 }
 
 // Read implements Protocol: it checks a reply from its head to its last byte.
-func (p nativeProtocol) Read(response *http.Response, call Call) (Attempt, bool, error) {
+func (p nativeProtocol) Read(response *http.Response, call Call) (CallResult, bool, error) {
 	if !echoed(response.Header, call) {
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultCrossed}, false, nil
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultMisroutedReply}, false, nil
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -62,22 +62,22 @@
 		attempt, reusable := readRefusal(response)
 		return attempt, reusable, nil
 	case statusServerFailed:
-		return Attempt{Outcome: result.OutcomeRan, Fault: FaultServer, Reply: replyHead(response)}, discard(response), nil
+		return CallResult{Outcome: result.OutcomeRan, Fault: FaultServerError, Reply: replyHead(response)}, discard(response), nil
 	default:
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultBroken}, false, nil
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultConnectionLost}, false, nil
 	}
 }
 
 // readRefusal believes a 503 only with the server's explicit word. A bare 503
 // may come from something between the two ends after the work was passed on.
-func readRefusal(response *http.Response) (Attempt, bool) {
+func readRefusal(response *http.Response) (CallResult, bool) {
 	reason := NotRunReason(response.Header.Get(HeaderNotRun))
 	fault, known := notRunFaults[reason]
 	if !known {
-		return Attempt{Outcome: result.OutcomeUnknown, Fault: FaultBroken}, false
+		return CallResult{Outcome: result.OutcomeUnknown, Fault: FaultConnectionLost}, false
 	}
 	wait, _ := strconv.ParseInt(response.Header.Get(HeaderRetryAfterNs), 10, 64)
-	return Attempt{
+	return CallResult{
 		Outcome:    result.OutcomeRefused,
 		Fault:      fault,
 		Reply:      replyHead(response),
@@ -94,31 +94,31 @@
 func replyHead(response *http.Response) Reply {
 	incarnation, _ := strconv.ParseUint(response.Header.Get(HeaderIncarnation), 10, 64)
 	return Reply{
-		Load:        readLoad(response.Header),
-		Incarnation: incarnation,
-		Held:        readVersions(response.Header.Get(HeaderHeld)),
+		Load:          readLoad(response.Header),
+		Incarnation:   incarnation,
+		HeldSnapshots: readVersions(response.Header.Get(HeaderHeld)),
 	}
 }
 
 // readAnswer takes a body only if its length, its digest and its snapshot are
 // the ones announced and asked for: a connection that breaks half-way would
 // otherwise pass off half an answer as a whole one.
-func (p nativeProtocol) readAnswer(response *http.Response, call Call) (Attempt, bool, error) {
+func (p nativeProtocol) readAnswer(response *http.Response, call Call) (CallResult, bool, error) {
 	body, err := readWhole(response, p.maxReplyBytes)
 	if err != nil {
-		return Attempt{}, false, err
+		return CallResult{}, false, err
 	}
 	if response.Header.Get(HeaderDigest) != Digest(body) {
-		return Attempt{}, false, errors.New("the body does not match its digest")
+		return CallResult{}, false, errors.New("the body does not match its digest")
 	}
 	reply := replyHead(response)
 	reply.Body = body
 	answered, err := strconv.ParseUint(response.Header.Get(HeaderSnapshot), 10, 64)
 	if err != nil || answered != uint64(call.Snapshot) {
-		return Attempt{Outcome: result.OutcomeRan, Fault: FaultSnapshotMismatch, Reply: Reply{Load: reply.Load, Incarnation: reply.Incarnation}}, true, nil
+		return CallResult{Outcome: result.OutcomeRan, Fault: FaultSnapshotMismatch, Reply: Reply{Load: reply.Load, Incarnation: reply.Incarnation}}, true, nil
 	}
 	reply.Snapshot = call.Snapshot
-	return Attempt{Outcome: result.OutcomeRan, Fault: FaultNone, Reply: reply}, true, nil
+	return CallResult{Outcome: result.OutcomeRan, Fault: FaultNone, Reply: reply}, true, nil
 }
 
 // readWhole reads a body of the announced length, and its end, which frees the
--- a/backend/silence.go
+++ b/backend/silence.go
@@ -35,8 +35,8 @@
 // then the deadline drops the connection, and the common short call pays no timer.
 func (c *Client) watchSilence(ctx context.Context, server Server, link *conn, call Call) *silenceWatch {
 	w := &silenceWatch{client: c, ctx: ctx, server: server, link: link, call: call}
-	if c.options.SilenceBound > 0 && time.Until(call.Deadline) > c.options.SilenceBound {
-		w.arm(c.options.SilenceBound)
+	if c.options.ReadIdleTimeout > 0 && time.Until(call.Deadline) > c.options.ReadIdleTimeout {
+		w.arm(c.options.ReadIdleTimeout)
 	}
 	return w
 }
@@ -59,7 +59,7 @@
 }
 
 func (w *silenceWatch) check() {
-	bound := w.client.options.SilenceBound
+	bound := w.client.options.ReadIdleTimeout
 	if quiet := w.link.wire.sinceRead(time.Now()); quiet < bound {
 		w.arm(bound - quiet)
 		return
--- a/backend/wire.go
+++ b/backend/wire.go
@@ -86,8 +86,8 @@
 type Health struct {
 	Incarnation uint64 `json:"incarnation"`
 	Load        Load   `json:"load"`
-	// Held lists the snapshots that the server holds, by index.
-	Held map[string][]snapshot.Version `json:"held"`
+	// HeldSnapshots lists the snapshots that the server holds, by index.
+	HeldSnapshots map[string][]snapshot.Version `json:"held"`
 	// Attempt answers a question about one attempt, asked with HeaderRequest
 	// and HeaderAttempt; empty when none was asked.
 	Attempt RunState `json:"attempt,omitempty"`
@@ -221,7 +221,7 @@
 	w.set(HeaderLoadQueued, strconv.Itoa(reply.Load.Queued))
 	w.set(HeaderLoadSlots, strconv.Itoa(reply.Load.Slots))
 	w.set(HeaderDraining, strconv.FormatBool(reply.Load.Draining))
-	w.set(HeaderHeld, writeVersions(reply.Held))
+	w.set(HeaderHeld, writeVersions(reply.HeldSnapshots))
 	w.set(HeaderDigest, Digest(reply.Body))
 	w.set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.set("Content-Type", "application/json")
--- a/backend/wire_conn.go
+++ b/backend/wire_conn.go
@@ -75,7 +75,7 @@
 
 // dialWire opens a TCP connection.
 func dialWire(ctx context.Context, address string) (*wireConn, error) {
-	dialer := net.Dialer{KeepAliveConfig: keepalive.Short}
+	dialer := net.Dialer{KeepAliveConfig: keepalive.Config}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
--- a/bench/admission.go
+++ b/bench/admission.go
@@ -89,10 +89,10 @@
 		return
 	}
 	q.legs = append(q.legs, admit.LegTiming{
-		Service:  leg.Service.Name,
-		Time:     d.sim.Elapsed() - leg.Submitted,
-		Wait:     waited(leg),
-		TimedOut: !leg.Answered,
+		Service:   leg.Service.Name,
+		Time:      d.sim.Elapsed() - leg.Submitted,
+		QueueTime: waited(leg),
+		TimedOut:  !leg.Answered,
 	})
 }
 
@@ -117,7 +117,7 @@
 			continue
 		}
 		if !leg.Ended {
-			q.legs = append(q.legs, admit.LegTiming{Service: leg.Service.Name, Time: d.sim.Elapsed() - leg.Submitted, Wait: waited(leg), TimedOut: true})
+			q.legs = append(q.legs, admit.LegTiming{Service: leg.Service.Name, Time: d.sim.Elapsed() - leg.Submitted, QueueTime: waited(leg), TimedOut: true})
 		}
 	}
 	d.controllers[query.Host].Release(d.sim.Now(), q.pass, admit.Completion{Answered: answered == len(query.Legs), Legs: q.legs})
--- a/bench/server.go
+++ b/bench/server.go
@@ -197,11 +197,11 @@
 
 func (s *Server) dropRunning(sim *Sim) {
 	for _, call := range s.queue {
-		call.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultBroken})
+		call.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultConnectionLost})
 	}
 	s.queue = nil
 	for _, call := range sortedCalls(s.running) {
 		call.release()
-		call.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultBroken})
+		call.reply(home.AttemptResult{Outcome: result.OutcomeUnknown, Fault: backend.FaultConnectionLost})
 	}
 }
--- a/bundle/change.go
+++ b/bundle/change.go
@@ -28,10 +28,10 @@
 	Author  string
 	Reason  string
 	Created time.Time
-	// Above makes the generation higher than this and the parent's. It is for
+	// AboveGeneration makes the generation higher than this and the parent's. It is for
 	// a store that was set back by its own operators, while hosts have a higher
 	// generation in force.
-	Above uint64
+	AboveGeneration uint64
 }
 
 // Propose makes an unsigned change of the parent. For the first generation
@@ -45,7 +45,7 @@
 		return Change{}, err
 	}
 	return NewChange(Manifest{
-		Generation: max(parent.Generation, p.Above) + 1,
+		Generation: max(parent.Generation, p.AboveGeneration) + 1,
 		Parent:     parent,
 		Author:     p.Author,
 		Reason:     p.Reason,
--- a/bundle/config.go
+++ b/bundle/config.go
@@ -112,11 +112,11 @@
 	if p.QuarantineServers == 0 {
 		p.QuarantineServers = defaultQuarantineServers
 	}
-	if p.QuarantineFor == 0 {
-		p.QuarantineFor = Duration(defaultQuarantineFor)
+	if p.QuarantineDuration == 0 {
+		p.QuarantineDuration = Duration(defaultQuarantineFor)
 	}
-	if p.AdviceFor == 0 {
-		p.AdviceFor = Duration(defaultAdviceFor)
+	if p.AdviceTTL == 0 {
+		p.AdviceTTL = Duration(defaultAdviceFor)
 	}
 	return p
 }
--- a/bundle/documents.go
+++ b/bundle/documents.go
@@ -5,16 +5,16 @@
 
 import "time"
 
-// Prefer says what a route's answers give up first when time runs short. It
+// PartialStrategy says what a route's answers give up first when time runs short. It
 // is the route's partial-response strategy.
-type Prefer string
+type PartialStrategy string
 
 // The partial-response strategies.
 const (
 	// PreferLatency answers before the deadline with what is there.
-	PreferLatency Prefer = "latency"
+	PreferLatency PartialStrategy = "latency"
 	// PreferCoverage spends all the caller's time on the last shards.
-	PreferCoverage Prefer = "coverage"
+	PreferCoverage PartialStrategy = "coverage"
 )
 
 // RouteKind tells searches from bookings.
@@ -48,8 +48,8 @@
 	// Callers are the names of the callers that may use the route.
 	Callers []string `yaml:"callers" json:"callers"`
 	// Classes are the classes a request on the route may have; the first is the default.
-	Classes []string `yaml:"classes" json:"classes"`
-	Prefer  Prefer   `yaml:"prefer" json:"prefer"`
+	Classes []string        `yaml:"classes" json:"classes"`
+	Prefer  PartialStrategy `yaml:"prefer" json:"prefer"`
 	// MinCoverage is the share of shards, 0 to 1, below which the caller
 	// gets a refusal in place of an answer.
 	MinCoverage float64 `yaml:"least_coverage" json:"least_coverage"`
@@ -101,10 +101,10 @@
 	// QuarantineServers is how many different servers a request may be
 	// suspected of crashing before it is refused; default 2.
 	QuarantineServers int `yaml:"quarantine_servers,omitempty" json:"quarantine_servers,omitempty"`
-	// QuarantineFor is how long a quarantine lasts; default 10 minutes.
-	QuarantineFor Duration `yaml:"quarantine_for,omitempty" json:"quarantine_for,omitempty"`
-	// AdviceFor is how long callers may keep the advice on hosts; default 10 s.
-	AdviceFor Duration `yaml:"advice_for,omitempty" json:"advice_for,omitempty"`
+	// QuarantineDuration is how long a quarantine lasts; default 10 minutes.
+	QuarantineDuration Duration `yaml:"quarantine_for,omitempty" json:"quarantine_for,omitempty"`
+	// AdviceTTL is how long callers may keep the advice on hosts; default 10 s.
+	AdviceTTL Duration `yaml:"advice_for,omitempty" json:"advice_for,omitempty"`
 }
 
 // QuarantineOverride is an operator's word on one request fingerprint.
--- a/bundle/split.go
+++ b/bundle/split.go
@@ -47,12 +47,12 @@
 // configuration that was changed, it keeps their number where it can, so that
 // the change of one item changes one part.
 func Split(docs Documents, previous Parts) (Parts, Contents, error) {
-	return SplitAt(docs, previous, partBytes)
+	return SplitWithPartSize(docs, previous, partBytes)
 }
 
-// SplitAt is Split with another size of parts than the default, in bytes. How
+// SplitWithPartSize is Split with another size of parts than the default, in bytes. How
 // a bundle is split is its author's choice: readers take any.
-func SplitAt(docs Documents, previous Parts, size int) (Parts, Contents, error) {
+func SplitWithPartSize(docs Documents, previous Parts, size int) (Parts, Contents, error) {
 	contents := make(Contents)
 	var parts Parts
 	var err error
--- a/bundle/validate.go
+++ b/bundle/validate.go
@@ -205,9 +205,9 @@
 	}
 	v.within("policy.retry_budget", p.RetryBudget, 0, 1)
 	v.within("policy.quarantine_servers", float64(p.QuarantineServers), 0, mostServers)
-	v.duration("policy.quarantine_for", p.QuarantineFor, 0, mostQuarantine)
-	if p.AdviceFor != 0 {
-		v.duration("policy.advice_for", p.AdviceFor, leastAdvice, mostAdvice)
+	v.duration("policy.quarantine_for", p.QuarantineDuration, 0, mostQuarantine)
+	if p.AdviceTTL != 0 {
+		v.duration("policy.advice_for", p.AdviceTTL, leastAdvice, mostAdvice)
 	}
 }
 
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -59,10 +59,10 @@
 
 // Config is what an Agent works with; every field is required.
 type Config struct {
-	Store metastore.Store
-	List  metastore.HostList
-	Sink  Sink
-	Peers Peers
+	Store    metastore.Store
+	HostList metastore.HostList
+	Sink     Sink
+	Peers    Peers
 	// IsWatcher tells whether this host reads the platform for its zone.
 	IsWatcher func() bool
 	// Watchers are the peers' listeners of hosts to ask, best first.
@@ -123,7 +123,7 @@
 func (a *Agent) readHosts(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rows, err := a.config.List.Hosts(ctx, metastore.KindBackend)
+	rows, err := a.config.HostList.Hosts(ctx, metastore.KindBackend)
 	a.note(err)
 	if err != nil {
 		return false
--- a/certificates.go
+++ b/certificates.go
@@ -22,9 +22,9 @@
 	for _, c := range o.certificates {
 		expires := c.files.Expires() // reads changed files again
 		views = append(views, observe.Certificate{
-			Listener: c.listener,
-			Expires:  expires,
-			Refused:  c.files.Failure() != nil,
+			Listener:     c.listener,
+			Expires:      expires,
+			ReloadFailed: c.files.Failure() != nil,
 		})
 	}
 	return views
--- a/cli/bundle_review.go
+++ b/cli/bundle_review.go
@@ -66,7 +66,7 @@
 	if f.reason == "" || f.out == "" {
 		return bundle.Proposal{}, errors.New("--reason and --out are needed to make a change; say why, and name a file")
 	}
-	return bundle.Proposal{Author: key.Name, Reason: f.reason, Created: time.Now(), Above: f.above}, nil
+	return bundle.Proposal{Author: key.Name, Reason: f.reason, Created: time.Now(), AboveGeneration: f.above}, nil
 }
 
 func newBundleSign(flags *bundleFlags) *cobra.Command {
--- a/cli/bundle_rollout.go
+++ b/cli/bundle_rollout.go
@@ -155,7 +155,7 @@
 			if err := flags.print(command.OutOrStdout(), status, func(w io.Writer) { printStatus(w, status, storeErr) }); err != nil {
 				return err
 			}
-			if n := status.Lagging(); n > 0 {
+			if n := status.LaggingHosts(); n > 0 {
 				return errors.Errorf("%d of %d hosts lag or don't answer; see the operators' page on the bundle", n, len(hosts))
 			}
 			return nil
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -55,7 +55,7 @@
 	defer bed.Close()
 	fmt.Fprintf(o.Out, "a signed bundle is in force on all hosts, generation %d\n", bed.Hosts()[0].Status().Generation)
 	d := &demo{bed: bed, options: o, report: newReport()}
-	d.checker = testbed.NewChecker(bed.Record, bed.Published)
+	d.checker = testbed.NewChecker(bed.Record, bed.ShardCount)
 	if err := d.run(ctx); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 }
 
 type demo struct {
-	bed     *testbed.Bed
+	bed     *testbed.Cluster
 	options Options
 	checker *testbed.Checker
 	report  *report
@@ -163,7 +163,7 @@
 	answer, err := d.clients[caller].Query(ctx, route, client.Query{Class: class, Body: body, Detail: true})
 	d.report.add(class, time.Since(started), answer, err)
 	if answer != nil {
-		d.checker.Answer(body, answer)
+		d.checker.CheckAnswer(body, answer)
 	}
 	return answer
 }
@@ -180,13 +180,13 @@
 		d.report.add(classBooking, time.Since(started), nil, err)
 		return
 	}
-	d.checker.Booking(bodyDigest(body))
+	d.checker.AddBooking(bodyDigest(body))
 	for range 2 {
 		started = time.Now()
 		answer, err := d.clients[callerSales].Book(ctx, routeBook, ticket, client.Booking{Body: body})
 		d.report.add(classBooking, time.Since(started), answer, err)
 		if answer != nil {
-			d.checker.BookingAnswer(body, answer)
+			d.checker.CheckBookingAnswer(body, answer)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 // takes partial answers.
 func (d *demo) lostShard(ctx context.Context) error {
 	lost := testbed.ServiceName(indexBookingDesk, 7)
-	for _, standIn := range d.bed.BackendsOf(lost) {
+	for _, standIn := range d.bed.BackendsOfService(lost) {
 		if err := standIn.Close(); err != nil {
 			return err
 		}
@@ -209,8 +209,8 @@
 	if answer.Coverage.Complete {
 		return errors.New("an answer with a lost shard says that it is complete")
 	}
-	for _, standIn := range d.bed.BackendsOf(lost) {
-		d.bed.List(standIn, metastore.StateLeaving)
+	for _, standIn := range d.bed.BackendsOfService(lost) {
+		d.bed.SetServerState(standIn, metastore.StateLeaving)
 	}
 	return nil
 }
--- a/demo/shape.go
+++ b/demo/shape.go
@@ -42,12 +42,12 @@
 }
 
 // Groups are booking-desk and transit-planner as Plakatna Mreža runs them.
-func Groups() []testbed.Group {
-	shape := testbed.Group{Servers: 2, Slots: 2, Connections: 25, Time: serviceTime}
+func Groups() []testbed.ServiceGroup {
+	shape := testbed.ServiceGroup{Servers: 2, Slots: 2, Connections: 25, Time: serviceTime}
 	desk, planner := shape, shape
 	desk.Index, desk.Services = indexBookingDesk, 20
 	planner.Index, planner.Services = indexTransitPlanner, 30
-	return []testbed.Group{desk, planner}
+	return []testbed.ServiceGroup{desk, planner}
 }
 
 // Documents are the demo's bundle, without the services, which the testbed adds.
@@ -84,6 +84,6 @@
 				Prefer: bundle.PreferCoverage, MinCoverage: 1,
 			},
 		},
-		Policy: bundle.Policy{AdviceFor: bundle.Duration(5 * time.Second)},
+		Policy: bundle.Policy{AdviceTTL: bundle.Duration(5 * time.Second)},
 	}
 }
--- a/discover/follower.go
+++ b/discover/follower.go
@@ -138,7 +138,7 @@
 }
 
 func (f *Follower) where(err error) []zap.Field {
-	return []zap.Field{zap.String("prefix", f.config.Prefix), observe.Revision("revision", f.Revision()), observe.Reason(err)}
+	return []zap.Field{zap.String("prefix", f.config.Prefix), observe.Revision("revision", f.Revision()), observe.ErrorText(err)}
 }
 
 // followOnce lists and then follows the store or the peers, until an error. It calls well
--- a/eligible/eligible.go
+++ b/eligible/eligible.go
@@ -32,9 +32,9 @@
 	Evacuations *Evacuations
 	// Regions is the region of each availability zone.
 	Regions map[string]string
-	// Cold holds until when servers whose load is bounded while they are cold are so,
+	// ColdUntil holds until when servers whose load is bounded while they are cold are so,
 	// by name.
-	Cold map[string]time.Time
+	ColdUntil map[string]time.Time
 }
 
 // CheckZone decides whether a request that is bound to the regions may go to servers of the
@@ -64,7 +64,7 @@
 	if reason := r.CheckZone(zone, regions); reason != Allowed {
 		return reason
 	}
-	if now.Before(r.Cold[server]) {
+	if now.Before(r.ColdUntil[server]) {
 		return Cold
 	}
 	return Allowed
--- a/entry/advisor.go
+++ b/entry/advisor.go
@@ -58,7 +58,7 @@
 	return 1
 }
 
-// Observe takes the reported loads in, at most once a second; call it with
+// UpdateLoads takes the reported loads in, at most once a second; call it with
 // each new view or on a timer.
 //
 // Load: hosts of one zone carry most callers, or one host is slower than the
@@ -66,7 +66,7 @@
 // it at once, overload the next, and swing back. Reasons for the limits: a
 // step is bounded and callers follow over the time they keep their advice, so
 // the load moves slower than it is measured; differences under 4% are left.
-func (a *Advisor) Observe(now time.Time, view *member.View) {
+func (a *Advisor) UpdateLoads(now time.Time, view *member.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if now.Sub(a.stepped) < stepEvery {
--- a/exchange/named.go
+++ b/exchange/named.go
@@ -63,7 +63,7 @@
 // decodeAttempt makes the result of the leg that the sender still knows.
 func decodeAttempt(m *exchangepb.LegReply, request leg.Request) leg.Result {
 	end := m.GetAttempt()
-	a := &backend.Attempt{
+	a := &backend.CallResult{
 		Outcome:    result.Outcome(end.GetOutcome()),
 		Fault:      backend.Fault(end.GetFault()),
 		RetryAfter: time.Duration(end.GetRetryAfterNs()),
@@ -79,7 +79,7 @@
 
 func encodeHead(id uint32, r leg.Request, now time.Time) *exchangepb.Head {
 	f := r.Forward
-	head := &exchangepb.Head{Id: id, Method: f.Method, Target: f.Target, Host: f.Host, Attempt: f.Attempt, Regions: f.Regions}
+	head := &exchangepb.Head{Id: id, Method: f.Method, Target: f.Target, Host: f.Host, Attempt: f.AttemptID, Regions: f.Regions}
 	for _, name := range slices.Sorted(maps.Keys(f.Header)) {
 		head.Headers = append(head.Headers, &exchangepb.Header{Name: name, Values: f.Header[name]})
 	}
@@ -91,7 +91,7 @@
 
 func decodeHead(m *exchangepb.Head) *forward.Request {
 	f := &forward.Request{
-		Method: m.GetMethod(), Target: m.GetTarget(), Host: m.GetHost(), Attempt: m.GetAttempt(), Regions: m.GetRegions(),
+		Method: m.GetMethod(), Target: m.GetTarget(), Host: m.GetHost(), AttemptID: m.GetAttempt(), Regions: m.GetRegions(),
 		Header: make(map[string][]string, len(m.GetHeaders())),
 	}
 	for _, h := range m.GetHeaders() {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -12,9 +12,9 @@
 
 // Request is a caller's request as it goes to a backend server.
 type Request struct {
-	// Attempt is the caller's id of this sending. Backend servers echo it.
-	Attempt string
-	Method  string
+	// AttemptID is the caller's id of this sending. Backend servers echo it.
+	AttemptID string
+	Method    string
 	// Target is the path and query, byte for byte as the caller sent them.
 	Target string
 	Host   string
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -21,7 +21,7 @@
 }
 
 // Run implements backend.Runner.
-func (r loggedRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r loggedRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.CallResult {
 	r.count.Add(1)
 	started := r.now()
 	end := r.runner.Run(ctx, server, call)
@@ -29,7 +29,7 @@
 		return end
 	}
 	r.log.Info("attempt gave no answer",
-		zap.String("request", call.Forward.Attempt), zap.String("service", call.Service),
+		zap.String("request", call.Forward.AttemptID), zap.String("service", call.Service),
 		zap.String("server", server.Name), zap.String("address", server.Address),
 		zap.Stringer("fault", end.Fault), zap.Bool("not_run", end.Outcome.NotRun()),
 		zap.Int("server_running", end.Reply.Load.Running), zap.Int("server_waiting", end.Reply.Load.Queued),
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -72,6 +72,6 @@
 	return &eligible.Rules{
 		Evacuations: g.evacuations.known,
 		Regions:     g.options.Regions,
-		Cold:        make(map[string]time.Time),
+		ColdUntil:   make(map[string]time.Time),
 	}
 }
--- a/gateway/far.go
+++ b/gateway/far.go
@@ -63,7 +63,7 @@
 }
 
 // Run implements backend.Runner.
-func (r *farRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r *farRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.CallResult {
 	if server.Zone == r.zone {
 		return r.direct.Run(ctx, server, call)
 	}
@@ -121,7 +121,7 @@
 
 // through runs the call through a peer. made is false if it surely has not gone
 // to the server.
-func (r *farRunner) through(ctx context.Context, address string, server backend.Server, call backend.Call) (end backend.Attempt, made bool) {
+func (r *farRunner) through(ctx context.Context, address string, server backend.Server, call backend.Call) (end backend.CallResult, made bool) {
 	request := leg.Request{
 		Request: call.Request, Service: call.Service, Shard: call.Shard, Snapshot: call.Snapshot,
 		Deadline: call.Deadline, Idempotent: true, Body: call.Body, Forward: call.Forward,
@@ -136,14 +136,14 @@
 		}
 		return end, true
 	case !time.Now().Before(call.Deadline):
-		return backend.Attempt{Outcome: ended.Outcome, Fault: backend.FaultDeadline}, true
+		return backend.CallResult{Outcome: ended.Outcome, Fault: backend.FaultDeadline}, true
 	case ctx.Err() != nil:
-		return backend.Attempt{Outcome: ended.Outcome, Fault: backend.FaultCancelled}, true
+		return backend.CallResult{Outcome: ended.Outcome, Fault: backend.FaultCancelled}, true
 	case ended.Outcome.NotRun():
-		return backend.Attempt{}, false
+		return backend.CallResult{}, false
 	default:
-		r.log.Info("peer that a part went through is lost", zap.String("request", call.Forward.Attempt), zap.String("peer", address), zap.String("server", server.Name))
-		return backend.Attempt{Outcome: ended.Outcome, Fault: backend.FaultPeerLost}, true
+		r.log.Info("peer that a part went through is lost", zap.String("request", call.Forward.AttemptID), zap.String("peer", address), zap.String("server", server.Name))
+		return backend.CallResult{Outcome: ended.Outcome, Fault: backend.FaultPeerLost}, true
 	}
 }
 
--- a/gateway/far_serve.go
+++ b/gateway/far_serve.go
@@ -114,10 +114,10 @@
 	}
 	ended := leg.Failed(request, 0, result.OutcomeRan, "")
 	ended.Body = body
-	ended.Attempt = &backend.Attempt{Outcome: result.OutcomeRan}
+	ended.Attempt = &backend.CallResult{Outcome: result.OutcomeRan}
 	return ended
 }
 
 func keyOf(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, server: request.DirectServer}
+	return partKey{attempt: request.Forward.AttemptID, server: request.DirectServer}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -278,7 +278,7 @@
 	}
 	config, err := g.options.Decode.Config(object)
 	if err != nil {
-		g.log.Error("configuration can't be read, the one before stays in force", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
+		g.log.Error("configuration can't be read, the one before stays in force", observe.Revision("revision", object.Revision), zap.String("source", source), observe.ErrorText(err))
 		return
 	}
 	if before != nil && config.Version < before.version() {
@@ -287,7 +287,7 @@
 	}
 	next, err := newConfiguration(object.Revision, config)
 	if err != nil {
-		g.log.Error("configuration is not valid, the one before stays in force", observe.Revision("revision", object.Revision), zap.String("source", source), observe.Reason(err))
+		g.log.Error("configuration is not valid, the one before stays in force", observe.Revision("revision", object.Revision), zap.String("source", source), observe.ErrorText(err))
 		return
 	}
 	g.inForce.Store(next)
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -19,13 +19,13 @@
 }
 
 // Run implements backend.Runner.
-func (r guardedRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.Attempt {
+func (r guardedRunner) Run(ctx context.Context, server backend.Server, call backend.Call) backend.CallResult {
 	reason := r.check(server, call)
 	if reason == eligible.Allowed {
 		return r.runner.Run(ctx, server, call)
 	}
-	r.log.Info("attempt was held back", zap.String("request", call.Forward.Attempt), zap.String("server", server.Name), zap.String("zone", server.Zone), zap.Stringer("reason", reason))
-	return backend.Attempt{Outcome: result.OutcomeUnsent, Fault: backend.FaultNotAllowed}
+	r.log.Info("attempt was held back", zap.String("request", call.Forward.AttemptID), zap.String("server", server.Name), zap.String("zone", server.Zone), zap.Stringer("reason", reason))
+	return backend.CallResult{Outcome: result.OutcomeUnsent, Fault: backend.FaultNotAllowed}
 }
 
 // mayGet decides on an attempt that a home of this host has chosen the server for.
--- a/gateway/home_legs.go
+++ b/gateway/home_legs.go
@@ -128,7 +128,7 @@
 
 // homeKey names a part by the caller's attempt and its service.
 func homeKey(request leg.Request) partKey {
-	return partKey{attempt: request.Forward.Attempt, server: request.Service}
+	return partKey{attempt: request.Forward.AttemptID, server: request.Service}
 }
 
 // restAt fetches all records of a part that a peer has cut.
--- a/gateway/register.go
+++ b/gateway/register.go
@@ -50,7 +50,7 @@
 		}
 		written, err := g.registerOnce(ctx)
 		if err != nil {
-			g.log.Warn("registration failed and is tried again", observe.Reason(err))
+			g.log.Warn("registration failed and is tried again", observe.ErrorText(err))
 			pause = registerRetry
 			continue
 		}
@@ -72,7 +72,7 @@
 	for _, object := range entries {
 		var entry hostEntry
 		if err := json.Unmarshal(object.Value, &entry); err != nil {
-			g.log.Warn("a host's entry can't be read", zap.String("key", object.Key), observe.Reason(err))
+			g.log.Warn("a host's entry can't be read", zap.String("key", object.Key), observe.ErrorText(err))
 			continue
 		}
 		if object.Key == key {
@@ -92,6 +92,6 @@
 	if errors.Is(err, metastore.ErrConflict) {
 		return 0, errors.Wrap(err, "own entry was written meanwhile")
 	}
-	g.log.Info("registered", zap.Int("hosts_listed", len(entries)), observe.Reason(err))
+	g.log.Info("registered", zap.Int("hosts_listed", len(entries)), observe.ErrorText(err))
 	return written.Revision, errors.Wrap(err, "write own entry")
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -223,7 +223,7 @@
 }
 
 func (g *Gateway) logRefusal(q Query, c *configuration, a *Answer) {
-	g.log.Info("request refused", zap.String("request", q.Forward.Attempt), zap.String("host", q.Forward.Host),
+	g.log.Info("request refused", zap.String("request", q.Forward.AttemptID), zap.String("host", q.Forward.Host),
 		zap.String("path", q.Path), zap.Stringer("code", a.Code), zap.String("detail", a.Detail),
 		zap.Uint64("config", versionOf(c)), zap.Duration("retry_after", a.RetryAfter))
 }
@@ -237,7 +237,7 @@
 
 func (g *Gateway) logAnswer(c *configuration, r *route.Route, q Query, a *scatter.Answer, took time.Duration) {
 	fields := []zap.Field{
-		zap.String("request", q.Forward.Attempt), zap.String("route", r.Name), zap.Uint64("config", versionOf(c)),
+		zap.String("request", q.Forward.AttemptID), zap.String("route", r.Name), zap.Uint64("config", versionOf(c)),
 		zap.Stringer("code", a.Code), zap.Int("parts", len(a.Parts)), zap.Int("total", a.Total),
 		zap.Int("attempts", a.Attempts), zap.Int("hedges", a.Hedges),
 		zap.Duration("budget", q.Timeout), zap.Duration("took", took),
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -79,7 +79,7 @@
 			inService[state.entry.Name] = k.Server
 		}
 		if k.Warmup.Duration > 0 && !k.ColdUntil.IsZero() {
-			rules.Cold[state.entry.Name] = k.ColdUntil
+			rules.ColdUntil[state.entry.Name] = k.ColdUntil
 		}
 	}
 	g.rules.Store(rules)
@@ -153,7 +153,7 @@
 	g.serverStates[object.Key] = state
 	switch {
 	case err != nil:
-		g.log.Warn("backend server's entry can't be read and is left out", zap.String("key", object.Key), observe.Revision("revision", object.Revision), observe.Reason(err))
+		g.log.Warn("backend server's entry can't be read and is left out", zap.String("key", object.Key), observe.Revision("revision", object.Revision), observe.ErrorText(err))
 	case earlier:
 		g.log.Info("backend server's entry is of an earlier start and is left out", zap.String("server", entry.Name), zap.Uint64("incarnation", entry.Incarnation), observe.Revision("revision", object.Revision))
 	case !seen || !before.entry.sameState(entry):
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithTimeout(live, leaveWait)
 	defer cancel()
 	if err := g.members.Leave(ctx); err != nil {
-		g.log.Warn("peers were not told of the stop", observe.Reason(err))
+		g.log.Warn("peers were not told of the stop", observe.ErrorText(err))
 	}
 	stop.Wait(live, g.options.Now, func() int { return int(g.inFlight.Load() + g.homeLegs.open.Load()) }, g.log)
 }
--- a/home/learn.go
+++ b/home/learn.go
@@ -103,7 +103,7 @@
 	s := a.server
 	s.failing.note(now, true)
 	s.noteUnreachable(now, end)
-	if end.Fault == backend.FaultDeadline || end.Fault == backend.FaultSilent {
+	if end.Fault == backend.FaultDeadline || end.Fault == backend.FaultUnresponsive {
 		s.times[a.leg.Class].observe(now, now.Sub(a.started), false)
 	}
 	if !s.failed() {
--- a/home/server.go
+++ b/home/server.go
@@ -277,8 +277,8 @@
 // fault of its.
 func countsAsFault(end AttemptResult) bool {
 	switch end.Fault {
-	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultSilent, backend.FaultBroken,
-		backend.FaultHalfReply, backend.FaultCrossed, backend.FaultServer:
+	case backend.FaultUnreachable, backend.FaultDeadline, backend.FaultUnresponsive, backend.FaultConnectionLost,
+		backend.FaultCorruptReply, backend.FaultMisroutedReply, backend.FaultServerError:
 		return true
 	default:
 		return false
--- a/home/settle.go
+++ b/home/settle.go
@@ -122,7 +122,7 @@
 	case end.Outcome == result.OutcomeUnknown:
 		return l.unknowns < maxUnknowns
 	default:
-		return end.Fault == backend.FaultSnapshotMismatch || (l.Forwarded && end.Fault == backend.FaultServer)
+		return end.Fault == backend.FaultSnapshotMismatch || (l.Forwarded && end.Fault == backend.FaultServerError)
 	}
 }
 
--- a/homes.go
+++ b/homes.go
@@ -27,8 +27,8 @@
 	return h
 }
 
-// Of implements scatter.Homes.
-func (h *homes) Of(service string) (first, second ident.HostID) {
+// Lookup implements scatter.Homes.
+func (h *homes) Lookup(service string) (first, second ident.HostID) {
 	return h.cache.Homes(h.view(), *h.services.Load()).Lookup(service)
 }
 
--- a/homeserver/service.go
+++ b/homeserver/service.go
@@ -44,7 +44,7 @@
 type openAttempt struct {
 	leg    home.LegID
 	cancel context.CancelFunc
-	end    backend.Attempt
+	end    backend.CallResult
 }
 
 // ending is a leg's result that is handed out after the mutex is released, so
@@ -229,7 +229,7 @@
 	s.mu.Unlock()
 }
 
-func (s *service) note(a *openAttempt, end backend.Attempt) {
+func (s *service) note(a *openAttempt, end backend.CallResult) {
 	a.cancel()
 	a.end = end
 	if l := s.legs[a.leg]; l != nil {
@@ -261,7 +261,7 @@
 		r.Snapshot = reply.Snapshot
 		r.Body = reply.Body
 		r.Digest = leg.Digest(reply.Body)
-		r.HeldSnapshots = reply.Held
+		r.HeldSnapshots = reply.HeldSnapshots
 		r.Reply = reply.Forwarded
 	}
 	return ending{done: l.done, result: r}, true
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -11,14 +11,14 @@
 
 // Limits bound one connection; zero values leave the server's own bound.
 type Limits struct {
-	// Header is how long the head of a request may take.
-	Header time.Duration
-	// Idle is how long a connection may rest between two requests.
-	Idle time.Duration
+	// HeaderTimeout is how long the head of a request may take.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long a connection may rest between two requests.
+	IdleTimeout time.Duration
 }
 
-// Listener wraps the connections of a listener; limits is asked for each bound.
-func Listener(listener net.Listener, limits func() Limits) net.Listener {
+// NewListener wraps the connections of a listener; limits is asked for each bound.
+func NewListener(listener net.Listener, limits func() Limits) net.Listener {
 	return limited{Listener: listener, limits: limits}
 }
 
@@ -36,8 +36,8 @@
 	return &conn{Conn: c, limits: l.limits}, nil
 }
 
-// Note is the server's ConnState: it tells a connection when it rests.
-func Note(c net.Conn, state http.ConnState) {
+// ConnState is the server's ConnState: it tells a connection when it rests.
+func ConnState(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*conn); ok {
 		c.note(state)
 	}
@@ -95,9 +95,9 @@
 	var within time.Duration
 	switch c.phase {
 	case awaitsHeader:
-		within = limits.Header
+		within = limits.HeaderTimeout
 	case rests:
-		within = limits.Idle
+		within = limits.IdleTimeout
 	}
 	if end := time.Now().Add(within + tolerance); within > 0 && end.Before(t) {
 		return end
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Short finds connections that went silent: something between the two ends has
+// Config finds connections that went silent: something between the two ends has
 // lost track of them, nothing comes back, not even a reset, and new ones work.
 // Without it the next call on one ends as unknown, and a watch waits for good.
 // Three probes in 2.5 s leave room for one lost packet.
-var Short = net.KeepAliveConfig{
+var Config = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     time.Second,
 	Interval: 500 * time.Millisecond,
--- a/leg/leg.go
+++ b/leg/leg.go
@@ -76,7 +76,7 @@
 	RetryAfter time.Duration
 	// Attempt is how the attempt at a named server ended; nil: it was not made,
 	// or nothing is known of it.
-	Attempt *backend.Attempt
+	Attempt *backend.CallResult
 	// Truncated: Body holds only the greatest records.
 	Truncated bool
 	// Forecast is how the next leg would fare at the home; nil: it did not say.
--- a/load.go
+++ b/load.go
@@ -32,7 +32,7 @@
 		requests := permille * int(h.inFlight.Load()) / h.parts.Settings.Limits.MaxConcurrent
 		h.parts.Member.SetLoad(uint32(min(max(processor, requests), permille)))
 		used, at = nextUsed, nextAt
-		h.parts.Advisor.Observe(h.parts.Now(), h.parts.Member.View())
+		h.parts.Advisor.UpdateLoads(h.parts.Now(), h.parts.Member.View())
 	}
 }
 
--- a/load/direct.go
+++ b/load/direct.go
@@ -24,7 +24,7 @@
 // when a call surely did not run. The servers queue.
 type direct struct {
 	shape   Shape
-	bed     *testbed.Bed
+	bed     *testbed.Cluster
 	callers map[string]*directCaller
 	// replicas are those of each service.
 	replicas map[string][]*replica
@@ -45,7 +45,7 @@
 	busy []atomic.Int64
 }
 
-func newDirect(shape Shape, bed *testbed.Bed) *direct {
+func newDirect(shape Shape, bed *testbed.Cluster) *direct {
 	d := &direct{shape: shape, bed: bed, callers: make(map[string]*directCaller), replicas: make(map[string][]*replica)}
 	for place, standIn := range bed.Backends {
 		service := standIn.Server().Service
@@ -183,13 +183,13 @@
 	return best
 }
 
-func (c *directCaller) run(ctx context.Context, to *replica, call backend.Call) backend.Attempt {
+func (c *directCaller) run(ctx context.Context, to *replica, call backend.Call) backend.CallResult {
 	c.busy[to.place].Add(1)
 	defer c.busy[to.place].Add(-1)
 	select {
 	case c.slots[to.place] <- struct{}{}:
 	case <-ctx.Done():
-		return backend.Attempt{Outcome: result.OutcomeUnsent, Fault: backend.FaultDeadline}
+		return backend.CallResult{Outcome: result.OutcomeUnsent, Fault: backend.FaultDeadline}
 	}
 	defer func() { <-c.slots[to.place] }()
 	return c.runner.Run(ctx, to.server(), call)
--- a/load/inject.go
+++ b/load/inject.go
@@ -39,8 +39,8 @@
 // injector carries out the timeline on the tier's bed, and what concerns the
 // backend servers on the direct callers' bed too.
 type injector struct {
-	bed     *testbed.Bed
-	beds    []*testbed.Bed
+	bed     *testbed.Cluster
+	beds    []*testbed.Cluster
 	checker *testbed.Checker
 	tier    *tier
 	start   time.Time
@@ -93,11 +93,11 @@
 	case KindStoreSlow:
 		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.Delay = onlyIf(on, e.Delay) })
 	case KindHostsEmpty:
-		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostsEmpty = on })
+		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostListEmpty = on })
 	case KindHostsLag:
-		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostLag = onlyIf(on, e.Delay) })
+		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostListLag = onlyIf(on, e.Delay) })
 	case KindStoreSilent:
-		in.bed.Platform.Silence()
+		in.bed.Platform.BlackholeConnections()
 		in.mark(e, "")
 	case KindLostWrite:
 		in.lostWrite(e)
@@ -236,7 +236,7 @@
 	err := in.bed.Publish(next)
 	in.mark(e, noteOf(err))
 	for _, standIn := range in.bed.Backends {
-		standIn.Hold(e.Index, version)
+		standIn.AddSnapshot(e.Index, version)
 		wait.For(ctx, loadEvery)
 	}
 }
@@ -284,7 +284,7 @@
 	return Stream{}, false
 }
 
-func (in *injector) applyToServer(ctx context.Context, bed *testbed.Bed, e Event) {
+func (in *injector) applyToServer(ctx context.Context, bed *testbed.Cluster, e Event) {
 	for _, standIn := range bed.Backends {
 		if standIn.Server().Name == e.Server {
 			in.work.Go(func() { in.serverFault(ctx, bed, standIn, e) })
@@ -292,29 +292,29 @@
 	}
 }
 
-func (in *injector) serverFault(ctx context.Context, bed *testbed.Bed, standIn *standin.Backend, e Event) {
+func (in *injector) serverFault(ctx context.Context, bed *testbed.Cluster, standIn *standin.Backend, e Event) {
 	length := time.Duration(e.For)
 	switch e.Kind {
 	case KindSlow:
-		standIn.SetFaults(standin.BackendFaults{Slow: e.Factor})
+		standIn.SetFaults(standin.BackendFaults{SlowFactor: e.Factor})
 		undoAfter(ctx, length, func() { standIn.SetFaults(standin.BackendFaults{}) })
 	case KindLost:
 		standIn.Crash(orForGood(length))
 	case KindCrash:
 		standIn.Crash(length)
 	case KindDrain:
-		standIn.Drain(true)
-		undoAfter(ctx, length, func() { standIn.Drain(false) })
+		standIn.SetDraining(true)
+		undoAfter(ctx, length, func() { standIn.SetDraining(false) })
 	case KindLeave:
-		standIn.SetFaults(standin.BackendFaults{DrainUntold: true})
-		bed.List(standIn, metastore.StateLeaving)
+		standIn.SetFaults(standin.BackendFaults{HideDraining: true})
+		bed.SetServerState(standIn, metastore.StateLeaving)
 		if bed == in.bed {
-			in.checker.Left(e.Server, time.Now())
+			in.checker.ServerLeaving(e.Server, time.Now())
 		}
 	case KindSilent:
-		standIn.Silence()
+		standIn.BlackholeConnections()
 	case KindBadReplies:
-		standIn.SetFaults(standin.BackendFaults{HalfReplies: e.Count, CorruptReplies: e.Count, CrossedReplies: e.Count, LostReplies: e.Count})
+		standIn.SetFaults(standin.BackendFaults{TruncatedReplies: e.Count, CorruptReplies: e.Count, MisroutedReplies: e.Count, LostReplies: e.Count})
 	}
 }
 
--- a/load/load.go
+++ b/load/load.go
@@ -68,7 +68,7 @@
 type run struct {
 	options  Options
 	shape    Shape // scaled
-	bed      *testbed.Bed
+	bed      *testbed.Cluster
 	checker  *testbed.Checker
 	tier     *tier
 	sides    []*lane
@@ -82,7 +82,7 @@
 type lane struct {
 	name     string
 	side     side
-	bed      *testbed.Bed
+	bed      *testbed.Cluster
 	tally    *tally
 	inFlight atomic.Int64
 	dropped  atomic.Int64
@@ -142,24 +142,24 @@
 	return names
 }
 
-func (r *run) startBed(ctx context.Context, hosts, queue int) (*testbed.Bed, error) {
+func (r *run) startBed(ctx context.Context, hosts, queue int) (*testbed.Cluster, error) {
 	policy := r.options.Policy
-	if policy.AdviceFor == 0 {
-		policy.AdviceFor = bundle.Duration(adviceFor)
+	if policy.AdviceTTL == 0 {
+		policy.AdviceTTL = bundle.Duration(adviceFor)
 	}
-	groups := append([]testbed.Group(nil), r.shape.Groups...)
+	groups := append([]testbed.ServiceGroup(nil), r.shape.Groups...)
 	for i := range groups {
 		groups[i].QueueLimit = queue
 	}
 	bed, err := testbed.Start(ctx, testbed.Config{
-		Groups:      groups,
-		Hosts:       hosts,
-		Documents:   r.shape.documents(policy),
-		Holds:       true,
-		CrashMarker: crashMarker,
-		Seed:        r.options.Seed,
-		Logger:      r.options.Logger,
-		Tune:        func(s *settings.Settings) { s.Limits.StopWait = r.shape.longestWait() },
+		Groups:          groups,
+		Hosts:           hosts,
+		Documents:       r.shape.documents(policy),
+		ManualSnapshots: true,
+		CrashMarker:     crashMarker,
+		Seed:            r.options.Seed,
+		Logger:          r.options.Logger,
+		ModifySettings:  func(s *settings.Settings) { s.Limits.StopTimeout = r.shape.longestWait() },
 	})
 	return bed, errors.Wrap(err, "load")
 }
@@ -170,7 +170,7 @@
 		return err
 	}
 	r.bed = bed
-	r.checker = testbed.NewChecker(bed.Record, bed.Published)
+	r.checker = testbed.NewChecker(bed.Record, bed.ShardCount)
 	r.tier, err = newTier(r.shape, bed, r.checker)
 	if err != nil {
 		return err
@@ -275,7 +275,7 @@
 	for ctx.Err() == nil {
 		for _, host := range r.bed.Hosts() {
 			status := host.Status()
-			r.checker.Generation(fmt.Sprintf("%s/%d", status.Host, status.Incarnation), status.Generation)
+			r.checker.ObserveGeneration(fmt.Sprintf("%s/%d", status.Host, status.Incarnation), status.Generation)
 		}
 		wait.For(ctx, sampleEvery)
 	}
--- a/load/print.go
+++ b/load/print.go
@@ -78,7 +78,7 @@
 	return slices.ContainsFunc(r.Sides, func(s SideReport) bool { return s.Name == sideTier })
 }
 
-func byPromise(broken []testbed.Broken) map[string]int {
+func byPromise(broken []testbed.Violation) map[string]int {
 	counts := make(map[string]int)
 	for _, b := range broken {
 		counts[b.Promise]++
--- a/load/report.go
+++ b/load/report.go
@@ -38,9 +38,9 @@
 	CPUCores   float64 `json:"cpu_cores"`
 	PeakMemory int64   `json:"peak_memory_bytes"`
 	// PoisonRuns is how many runs of poison requests crashed a server.
-	PoisonRuns int              `json:"poison_runs,omitempty"`
-	Checked    int              `json:"replies_checked"`
-	Broken     []testbed.Broken `json:"broken,omitempty"`
+	PoisonRuns int                 `json:"poison_runs,omitempty"`
+	Checked    int                 `json:"replies_checked"`
+	Broken     []testbed.Violation `json:"broken,omitempty"`
 }
 
 // SideReport is one side's figures.
--- a/load/shape.go
+++ b/load/shape.go
@@ -20,7 +20,7 @@
 	Share float64
 	// Booking sends one non-idempotent request to one shard.
 	Booking bool
-	Prefer  bundle.Prefer
+	Prefer  bundle.PartialStrategy
 	// LeastCoverage is the route's.
 	LeastCoverage float64
 }
@@ -28,7 +28,7 @@
 // Shape is a user's services and what callers ask of them.
 type Shape struct {
 	Name    string
-	Groups  []testbed.Group
+	Groups  []testbed.ServiceGroup
 	Classes []bundle.Class
 	Streams []Stream
 	// CallersOfRole is how many callers each role has.
@@ -38,7 +38,7 @@
 // scaled makes service times and deadlines longer by the factor, so that a
 // small machine carries the same share of slots with less processor time.
 func (s Shape) scaled(factor float64) Shape {
-	groups := append([]testbed.Group(nil), s.Groups...)
+	groups := append([]testbed.ServiceGroup(nil), s.Groups...)
 	for i := range groups {
 		groups[i].Time = scaleTime(groups[i].Time, factor)
 	}
@@ -67,12 +67,12 @@
 
 // rate is how many requests a second of the group's streams use the share of
 // its slots: a query takes a slot in every service, a booking in one.
-func (s Shape) rate(g testbed.Group, share float64) float64 {
+func (s Shape) rate(g testbed.ServiceGroup, share float64) float64 {
 	perService := float64(g.Servers*g.Slots) / meanTime(g.Time).Seconds()
 	return share * perService / s.legsPerService(g)
 }
 
-func (s Shape) legsPerService(g testbed.Group) float64 {
+func (s Shape) legsPerService(g testbed.ServiceGroup) float64 {
 	legs, shares := 0.0, 0.0
 	for _, stream := range s.Streams {
 		if stream.Index != g.Index {
--- a/load/shapes.go
+++ b/load/shapes.go
@@ -45,20 +45,20 @@
 }
 
 // pairs is a group of services with two small servers each.
-func pairs(index string, services int) testbed.Group {
-	return testbed.Group{Index: index, Services: services, Servers: 2, Slots: 2, Connections: 25, Time: shortWork}
+func pairs(index string, services int) testbed.ServiceGroup {
+	return testbed.ServiceGroup{Index: index, Services: services, Servers: 2, Slots: 2, Connections: 25, Time: shortWork}
 }
 
 // single is one service of several larger servers.
-func single(index string, servers, connections int) testbed.Group {
-	return testbed.Group{Index: index, Services: 1, Servers: servers, Slots: 6, Connections: connections, Time: longWork}
+func single(index string, servers, connections int) testbed.ServiceGroup {
+	return testbed.ServiceGroup{Index: index, Services: 1, Servers: servers, Slots: 6, Connections: connections, Time: longWork}
 }
 
 // Plakatna is the shape of Plakatna Mreža.
 func Plakatna() Shape {
 	return Shape{
 		Name: "plakatna",
-		Groups: []testbed.Group{
+		Groups: []testbed.ServiceGroup{
 			pairs("booking-desk", 20), pairs("transit-planner", 30),
 			single("archive-svc", 7, 100), single("billing", 3, 100),
 		},
@@ -81,7 +81,7 @@
 func Vltava() Shape {
 	return Shape{
 		Name: "vltava",
-		Groups: []testbed.Group{
+		Groups: []testbed.ServiceGroup{
 			pairs("booking-portal", 20), pairs("cert-issuer", 30),
 			single("exam-desk", 4, 50), single("billing-sync", 4, 50),
 		},
--- a/load/tally.go
+++ b/load/tally.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			continue
 		}
-		for _, run := range record.Of(id) {
+		for _, run := range record.RunsOf(id) {
 			s.Runs++
 			s.LastStart = max(s.LastStart, float64(run.Started.Sub(s.intended).Microseconds())/1000)
 			s.LastEnd = max(s.LastEnd, float64(run.Ended.Sub(s.intended).Microseconds())/1000)
--- a/load/tier.go
+++ b/load/tier.go
@@ -36,7 +36,7 @@
 	lost atomic.Int64
 }
 
-func newTier(shape Shape, bed *testbed.Bed, checker *testbed.Checker) (*tier, error) {
+func newTier(shape Shape, bed *testbed.Cluster, checker *testbed.Checker) (*tier, error) {
 	t := &tier{shape: shape, clients: make(map[string]*client.Client), checker: checker}
 	for role := range shape.CallersOfRole {
 		for _, name := range shape.callersOf(role) {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.checker.Booking(backend.Digest(r.body))
+	t.checker.AddBooking(backend.Digest(r.body))
 	return c.Book(ctx, r.stream.Route, ticket, client.Booking{Body: r.body})
 }
 
@@ -90,9 +90,9 @@
 func (t *tier) note(r request, answer *client.Answer, o *outcome) {
 	o.request = answer.RequestID
 	if r.stream.Booking {
-		t.checker.BookingAnswer(r.body, answer)
+		t.checker.CheckBookingAnswer(r.body, answer)
 	} else {
-		t.checker.Answer(r.body, answer)
+		t.checker.CheckAnswer(r.body, answer)
 	}
 	if answer.Code.NotRun() {
 		o.legs = 0
--- a/observe/log.go
+++ b/observe/log.go
@@ -25,9 +25,9 @@
 	return config.Build()
 }
 
-// Reason writes an error without the stack of where it was made, which costs
+// ErrorText writes an error without the stack of where it was made, which costs
 // a page of log for each line.
-func Reason(err error) zap.Field {
+func ErrorText(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
--- a/observe/traffic.go
+++ b/observe/traffic.go
@@ -22,7 +22,7 @@
 	mostBatch = 64 << 10
 )
 
-// NewTrafficLogger makes a logger for lines about single requests: JSON, one a
+// NewRequestLogger makes a logger for lines about single requests: JSON, one a
 // line, written by a goroutine of its own. flush writes what waits and ends it.
 //
 // Failure: the reader of standard output is slow or has stopped, or a burst
@@ -30,7 +30,7 @@
 // its log line. The guard holds because a line that finds the queue full, or
 // comes above the rate, is dropped and counted, and the next write says how
 // many were.
-func NewTrafficLogger(out io.Writer) (logger *zap.Logger, flush func()) {
+func NewRequestLogger(out io.Writer) (logger *zap.Logger, flush func()) {
 	w := &lineWriter{
 		lines: make(chan []byte, trafficLines),
 		stop:  make(chan struct{}),
--- a/observe/view.go
+++ b/observe/view.go
@@ -10,9 +10,9 @@
 	"github.com/goldcrestspan/goldcrestspan/drain"
 )
 
-// View gives what a host's parts say of themselves when metrics are read. The
+// GaugeSources gives what a host's parts say of themselves when metrics are read. The
 // functions are safe for concurrent use and cost no more than a short lock.
-type View struct {
+type GaugeSources struct {
 	Admission  func() admit.Stats
 	Quarantine func() int // requests refused at this moment
 	Phase      func() drain.Phase
@@ -25,8 +25,8 @@
 type Certificate struct {
 	Listener string
 	Expires  time.Time
-	// Refused: the files as they are now can't be used; earlier ones are.
-	Refused bool
+	// ReloadFailed: the files as they are now can't be used; earlier ones are.
+	ReloadFailed bool
 }
 
 // stopPhases are the values of the label phase.
@@ -35,7 +35,7 @@
 // viewCollector turns a View into gauges. It reads the view once for each
 // reading of the metrics, so that the gauges of one reading belong together.
 type viewCollector struct {
-	view View
+	view GaugeSources
 
 	inFlight, bytes                                        *prometheus.Desc
 	classInFlight, classBytes, capacity, pressure, callers *prometheus.Desc
@@ -43,8 +43,8 @@
 	expiry, refused                                        *prometheus.Desc
 }
 
-// RegisterView registers the gauges of a host's view of itself.
-func RegisterView(reg prometheus.Registerer, view View) error {
+// RegisterGauges registers the gauges of a host's view of itself.
+func RegisterGauges(reg prometheus.Registerer, view GaugeSources) error {
 	c := &viewCollector{
 		view:          view,
 		inFlight:      gauge("admit_in_flight", "Requests let in and not answered yet."),
@@ -101,7 +101,7 @@
 	give(c.ready, oneIf(c.view.Ready()))
 	for _, certificate := range c.view.Certificates() {
 		give(c.expiry, float64(certificate.Expires.Unix()), certificate.Listener)
-		give(c.refused, oneIf(certificate.Refused), certificate.Listener)
+		give(c.refused, oneIf(certificate.ReloadFailed), certificate.Listener)
 	}
 }
 
--- a/operators.go
+++ b/operators.go
@@ -89,7 +89,7 @@
 
 // registerView shows the host's view of itself as metrics.
 func (h *Host) registerView() error {
-	return observe.RegisterView(h.parts.Registry, observe.View{
+	return observe.RegisterGauges(h.parts.Registry, observe.GaugeSources{
 		Admission:  h.parts.Admission.Stats,
 		Quarantine: func() int { return len(h.parts.Crashes.book.Entries(h.parts.Now())) },
 		Phase:      h.phase,
--- a/parts.go
+++ b/parts.go
@@ -180,8 +180,8 @@
 		return o.Backends, nil
 	}
 	client := backend.NewClient(backend.Options{
-		MaxReplyBytes: int64(s.Limits.BackendReplyBytes),
-		Limit:         func(server backend.Server) int { return connectionShare(configs.Config(), server.Service) },
+		MaxReplyBytes:   int64(s.Limits.BackendReplyBytes),
+		ConnectionLimit: func(server backend.Server) int { return connectionShare(configs.Config(), server.Service) },
 	})
 	return client, client.RegisterMetrics(registry)
 }
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -73,7 +73,7 @@
 func (b *Registry) recordLost(now time.Time, q *lostQuery) {
 	news := Evidence{Fingerprint: q.fingerprint, Server: lostQueryServer, Incarnation: uint64(q.at.UnixNano()), InFlight: 1}
 	b.absorbed.Add(news, struct{}{})
-	until := now.Add(time.Duration(b.cfg.Policy.QuarantineFor))
+	until := now.Add(time.Duration(b.cfg.Policy.QuarantineDuration))
 	b.verdicts.Add(q.fingerprint, verdict{since: now, until: until, evidence: []Evidence{news}})
 }
 
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -42,7 +42,7 @@
 		fresh = append(fresh, n)
 		v, ok := b.verdicts.Peek(n.Fingerprint)
 		if !ok {
-			v = verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
+			v = verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineDuration))}
 		}
 		v.evidence = append(slices.Clone(v.evidence), n)
 		b.verdicts.Add(n.Fingerprint, v)
--- a/quarantine/track.go
+++ b/quarantine/track.go
@@ -123,7 +123,7 @@
 	switch {
 	case outcome == result.OutcomeRan || outcome == result.OutcomeRefused:
 		return on.answered(now, r, incarnation)
-	case fault == backend.FaultBroken:
+	case fault == backend.FaultConnectionLost:
 		return on.broke(now, r)
 	case fault == backend.FaultUnreachable:
 		return on.unreachable(now)
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -114,7 +114,7 @@
 }
 
 func (b *Registry) record(now time.Time, f Fingerprint, deaths []*recorded) {
-	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineFor))}
+	v := verdict{since: now, until: now.Add(time.Duration(b.cfg.Policy.QuarantineDuration))}
 	for _, d := range deaths {
 		news := Evidence{Fingerprint: f, Server: d.Name, Incarnation: d.Incarnation, InFlight: uint32(len(d.Suspects))}
 		v.evidence = append(v.evidence, news)
--- a/rollout/operators.go
+++ b/rollout/operators.go
@@ -64,7 +64,7 @@
 		return bundle.Change{}, err
 	}
 	change, err := bundle.NewChange(bundle.Manifest{
-		Generation: max(current.ref.Generation, p.Above) + 1,
+		Generation: max(current.ref.Generation, p.AboveGeneration) + 1,
 		Parent:     current.ref,
 		Author:     p.Author,
 		Reason:     p.Reason,
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -37,8 +37,8 @@
 	Hosts    []HostStatus `json:"hosts"`
 }
 
-// Lagging counts the hosts that are behind or did not answer.
-func (s FleetStatus) Lagging() int {
+// LaggingHosts counts the hosts that are behind or did not answer.
+func (s FleetStatus) LaggingHosts() int {
 	n := 0
 	for _, host := range s.Hosts {
 		if host.GenerationsBehind > 0 || host.Error != "" {
--- a/scatter/answer.go
+++ b/scatter/answer.go
@@ -28,10 +28,10 @@
 
 // LegTiming is how one leg went, as its root saw it.
 type LegTiming struct {
-	Service  string
-	Time     time.Duration // from the query's start until its result, or its end
-	Wait     time.Duration // at its home; leg.UnknownWait when not known
-	TimedOut bool          // no result came in time
+	Service   string
+	Time      time.Duration // from the query's start until its result, or its end
+	QueueTime time.Duration // at its home; leg.UnknownWait when not known
+	TimedOut  bool          // no result came in time
 }
 
 // Answer is the one terminal result of a query. Its coverage is len(Parts) of
--- a/scatter/coordinator.go
+++ b/scatter/coordinator.go
@@ -14,9 +14,9 @@
 
 // Homes tells where legs run. Both answers may be the local host.
 type Homes interface {
-	// Of returns the home of the service and the host that takes over when
+	// Lookup returns the home of the service and the host that takes over when
 	// the home is lost; second is empty when there is none.
-	Of(service string) (first, second ident.HostID)
+	Lookup(service string) (first, second ident.HostID)
 	// Runner returns the way to a host; false when it isn't known any more.
 	Runner(host ident.HostID) (leg.Runner, bool)
 	// Forecast says how a leg of the class sent now would fare at the service.
@@ -211,7 +211,7 @@
 
 func (r *run) sendAll() {
 	for i, shard := range r.work.Snapshot.Shards {
-		first, _ := r.c.homes.Of(shard.Service)
+		first, _ := r.c.homes.Lookup(shard.Service)
 		r.send(i, first)
 	}
 }
@@ -281,7 +281,7 @@
 
 func (r *run) take(a arrival) {
 	r.times[a.position].Time = r.c.now().Sub(r.started)
-	r.times[a.position].Wait = a.result.QueueTime
+	r.times[a.position].QueueTime = a.result.QueueTime
 	if len(a.result.HeldSnapshots) > 0 {
 		r.c.learn(r.work.Snapshot.Shards[a.position].Service, r.work.Index, a.result.HeldSnapshots)
 	}
@@ -303,7 +303,7 @@
 		t := &r.times[i]
 		t.Service = r.work.Snapshot.Shards[i].Service
 		if t.Time == 0 {
-			*t = LegTiming{Service: t.Service, Time: spent, Wait: leg.UnknownQueueTime, TimedOut: true}
+			*t = LegTiming{Service: t.Service, Time: spent, QueueTime: leg.UnknownQueueTime, TimedOut: true}
 		}
 	}
 	return r.times
--- a/scatter/cutoff.go
+++ b/scatter/cutoff.go
@@ -62,7 +62,7 @@
 // screen that gets nothing shows nothing. Limits: a latency route keeps 10% of
 // the time for the way back, a coverage route 4%; never under 4 ms, one way to
 // the users' farthest clients and the writing, and never over 100 ms.
-func CutOff(now, deadline time.Time, prefer bundle.Prefer) time.Time {
+func CutOff(now, deadline time.Time, prefer bundle.PartialStrategy) time.Time {
 	share := latencyReserve
 	if prefer == bundle.PreferCoverage {
 		share = coverageReserve
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -38,7 +38,7 @@
 // otherHome is the home to try when the one that the leg was sent to is lost.
 // It is the first one if membership has moved the home meanwhile.
 func (r *run) otherHome(position int) ident.HostID {
-	first, second := r.c.homes.Of(r.work.Snapshot.Shards[position].Service)
+	first, second := r.c.homes.Lookup(r.work.Snapshot.Shards[position].Service)
 	if first != r.sentTo[position] {
 		return first
 	}
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -45,7 +45,7 @@
 	CallerRTT time.Duration
 	// MinCoverage, 0 to 1, below which there is no answer.
 	MinCoverage float64
-	Prefer      bundle.Prefer
+	Prefer      bundle.PartialStrategy
 	Idempotent  bool
 	// Restartable ends the query as soon as a replica lacks the snapshot, so
 	// that the whole of it starts again on another one.
--- a/servers.go
+++ b/servers.go
@@ -70,7 +70,7 @@
 
 // ended takes a server's own word that it is leaving, which counts at once,
 // long before the host list says so.
-func (s *servers) ended(server backend.Server, end backend.Attempt) {
+func (s *servers) ended(server backend.Server, end backend.CallResult) {
 	if !end.Reply.Load.Draining && end.Fault != backend.FaultDraining {
 		return
 	}
--- a/settings/cross.go
+++ b/settings/cross.go
@@ -76,7 +76,7 @@
 const cutOffCalls = 2
 
 func (d *decoder) checkTimes(s *Settings) {
-	d.wantLess("limits.stop_wait", 2*LongestAdvice, s.Limits.StopWait,
+	d.wantLess("limits.stop_wait", 2*LongestAdvice, s.Limits.StopTimeout,
 		"a stopping host must outlast twice the longest time that callers keep advice")
 	d.wantAtMost("limits.cut_off_after", cutOffCalls*s.Platform.Timeout, s.Limits.CutOffAfter,
 		"one slow call to the platform must not cut the host off")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -74,7 +74,7 @@
 	MaxBytesInFlight  int           `yaml:"max_bytes_in_flight" validate:"min=1024,max=4294967296"` // bodies of all requests at once
 	HeaderTimeout     time.Duration `yaml:"header_timeout" validate:"min=100ms,max=1m"`             // to read a request's head
 	BodyTimeout       time.Duration `yaml:"body_timeout" validate:"min=100ms,max=5m"`               // to read a whole request
-	StopWait          time.Duration `yaml:"stop_wait" validate:"min=1s,max=10m"`                    // a planned stop takes at most
+	StopTimeout       time.Duration `yaml:"stop_wait" validate:"min=1s,max=10m"`                    // a planned stop takes at most
 	CutOffAfter       time.Duration `yaml:"cut_off_after" validate:"min=500ms,max=1m"`              // silence of platform and peers before refusing
 	BackendReplyBytes int           `yaml:"backend_reply_bytes" validate:"min=1024,max=268435456"`  // of one backend server's reply
 }
@@ -100,7 +100,7 @@
 			MaxBytesInFlight:  64 << 20,
 			HeaderTimeout:     5 * time.Second,
 			BodyTimeout:       10 * time.Second,
-			StopWait:          45 * time.Second,
+			StopTimeout:       45 * time.Second,
 			CutOffAfter:       4 * time.Second,
 			BackendReplyBytes: 4 << 20,
 		},
--- a/standin/backend_faults.go
+++ b/standin/backend_faults.go
@@ -19,16 +19,16 @@
 // next replies and go down as they are used. Durations are in nanoseconds on
 // the wire.
 type BackendFaults struct {
-	// Slow multiplies the service time; 0 and 1: none.
-	Slow float64 `json:"slow"`
+	// SlowFactor multiplies the service time; 0 and 1: none.
+	SlowFactor float64 `json:"slow"`
 	// LateBy holds each finished reply back.
 	LateBy time.Duration `json:"late_by_ns"`
-	// HalfReplies breaks the connection in the middle of the body.
-	HalfReplies int `json:"half_replies"`
+	// TruncatedReplies breaks the connection in the middle of the body.
+	TruncatedReplies int `json:"half_replies"`
 	// CorruptReplies changes a byte of the body but not its digest.
 	CorruptReplies int `json:"corrupt_replies"`
-	// CrossedReplies sends another request's reply.
-	CrossedReplies int `json:"crossed_replies"`
+	// MisroutedReplies sends another request's reply.
+	MisroutedReplies int `json:"crossed_replies"`
 	// LostReplies runs the work and breaks the connection in place of a reply.
 	LostReplies int `json:"lost_replies"`
 	// FailedReplies runs the work and answers that it failed.
@@ -43,8 +43,8 @@
 	LoadLag time.Duration `json:"load_lag_ns"`
 	// LoadLie replaces the load reports.
 	LoadLie *backend.Load `json:"load_lie,omitempty"`
-	// DrainUntold refuses nothing and says nothing while draining.
-	DrainUntold bool `json:"drain_untold"`
+	// HideDraining refuses nothing and says nothing while draining.
+	HideDraining bool `json:"drain_untold"`
 }
 
 // SetFaults replaces the faults.
@@ -80,9 +80,9 @@
 			return
 		}
 		b.SetFaults(control.Faults)
-		b.Drain(control.Draining)
+		b.SetDraining(control.Draining)
 		if control.Silence {
-			b.Silence()
+			b.BlackholeConnections()
 		}
 		if control.Crash {
 			defer func() { go b.Crash(control.CrashFor) }()
--- a/standin/platform_control.go
+++ b/standin/platform_control.go
@@ -30,7 +30,7 @@
 		}
 		p.SetFaults(control.Faults)
 		if control.Silence {
-			defer p.Silence()
+			defer p.BlackholeConnections()
 		}
 		if control.Break {
 			defer p.BreakConnections()
--- a/standin/platform_http.go
+++ b/standin/platform_http.go
@@ -60,8 +60,8 @@
 	p.eachConn(func(c *trackedConn) { _ = c.Close() })
 }
 
-// Silence makes the open connections silent; new ones work.
-func (p *Platform) Silence() {
+// BlackholeConnections makes the open connections silent; new ones work.
+func (p *Platform) BlackholeConnections() {
 	p.eachConn(func(c *trackedConn) { c.silent.Store(true) })
 }
 
--- a/standin/record.go
+++ b/standin/record.go
@@ -85,8 +85,8 @@
 	return r.refused
 }
 
-// Of returns the runs of one request.
-func (r *Record) Of(request ident.RequestID) []Run {
+// RunsOf returns the runs of one request.
+func (r *Record) RunsOf(request ident.RequestID) []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	places := r.requests[request]
--- a/stop.go
+++ b/stop.go
@@ -18,9 +18,9 @@
 func (h *Host) plannedStop(live context.Context) {
 	keep := time.Duration(0)
 	if config := h.Config(); config != nil {
-		keep = time.Duration(config.Policy.AdviceFor)
+		keep = time.Duration(config.Policy.AdviceTTL)
 	}
-	stop := drain.Begin(h.parts.Now(), keep, h.parts.Settings.Limits.StopWait)
+	stop := drain.Begin(h.parts.Now(), keep, h.parts.Settings.Limits.StopTimeout)
 	h.stop.Store(stop)
 	h.leave(live)
 	if stop.Wait(live, h.parts.Now, h.busy, h.parts.Log) {
--- a/testbed/check.go
+++ b/testbed/check.go
@@ -13,15 +13,15 @@
 	"github.com/goldcrestspan/goldcrestspan/standin"
 )
 
-// Broken is one promise that did not hold for one request.
-type Broken struct {
+// Violation is one promise that did not hold for one request.
+type Violation struct {
 	Promise string
 	Request string
 	Detail  string
 }
 
 // String is the line that reports print.
-func (b Broken) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%s: request %s: %s", b.Promise, b.Request, b.Detail)
 }
 
@@ -44,7 +44,7 @@
 	total func(index string, version snapshot.Version) int
 
 	mu       sync.Mutex
-	broken   []Broken
+	broken   []Violation
 	notRun   []ident.RequestID
 	bookings map[string]bool // digests of booking bodies
 	checked  int
@@ -64,14 +64,14 @@
 	}
 }
 
-// Answer checks one reply to a query at once, and notes what only the end can
+// CheckAnswer checks one reply to a query at once, and notes what only the end can
 // show. request is the body that the caller sent.
-func (c *Checker) Answer(request []byte, reply *front.Reply) {
+func (c *Checker) CheckAnswer(request []byte, reply *front.Reply) {
 	c.answer(request, reply, c.totalOf(reply))
 }
 
-// BookingAnswer is Answer for a booking, which goes to one shard.
-func (c *Checker) BookingAnswer(request []byte, reply *front.Reply) {
+// CheckBookingAnswer is Answer for a booking, which goes to one shard.
+func (c *Checker) CheckBookingAnswer(request []byte, reply *front.Reply) {
 	c.answer(request, reply, 1)
 }
 
@@ -99,8 +99,8 @@
 	c.checkParts(request, reply)
 }
 
-// Booking notes that a body was sent as a booking, each body once only.
-func (c *Checker) Booking(digest string) {
+// AddBooking notes that a body was sent as a booking, each body once only.
+func (c *Checker) AddBooking(digest string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bookings[digest] = true
@@ -137,16 +137,16 @@
 }
 
 func (c *Checker) add(promise, request, detail string) {
-	c.broken = append(c.broken, Broken{Promise: promise, Request: request, Detail: detail})
+	c.broken = append(c.broken, Violation{Promise: promise, Request: request, Detail: detail})
 }
 
 // Finish checks what needs the whole record, and returns every broken promise
 // and how many replies were checked. Call it when nothing runs any more.
-func (c *Checker) Finish() (broken []Broken, checked int) {
+func (c *Checker) Finish() (broken []Violation, checked int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.notRun {
-		if runs := c.record.Of(id); len(runs) > 0 {
+		if runs := c.record.RunsOf(id); len(runs) > 0 {
 			c.add(PromiseNotRun, id.String(), fmt.Sprintf("ran on %s", runs[0].Server))
 		}
 	}
--- a/testbed/check_fleet.go
+++ b/testbed/check_fleet.go
@@ -11,17 +11,17 @@
 // new work: hosts hear of it from a list that they read about once a second.
 const leavingGrace = 4 * time.Second
 
-// Left notes that a backend server was announced as leaving and does not come
+// ServerLeaving notes that a backend server was announced as leaving and does not come
 // back. Finish finds the work that it was given too late.
-func (c *Checker) Left(server string, at time.Time) {
+func (c *Checker) ServerLeaving(server string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left[server] = at
 }
 
-// Generation notes the generation that a host serves from. host must change
+// ObserveGeneration notes the generation that a host serves from. host must change
 // with the host's incarnation: a restarted host starts without any.
-func (c *Checker) Generation(host string, generation uint64) {
+func (c *Checker) ObserveGeneration(host string, generation uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if generation < c.highest[host] {
--- a/testbed/hosts.go
+++ b/testbed/hosts.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspan/goldcrestspan/settings"
 )
 
-func (b *Bed) startHosts() error {
+func (b *Cluster) startHosts() error {
 	for range b.config.Hosts {
 		if _, err := b.StartHost(); err != nil {
 			return err
@@ -22,7 +22,7 @@
 }
 
 // StartHost starts one more entry host; it need not be ready yet.
-func (b *Bed) StartHost() (*RunningHost, error) {
+func (b *Cluster) StartHost() (*RunningHost, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.hostSettings(b.made)
@@ -42,7 +42,7 @@
 	return running, nil
 }
 
-func (b *Bed) listEntry(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
+func (b *Cluster) listEntry(host *goldcrestspan.Host, s settings.Settings, state metastore.HostState) {
 	b.Platform.AddHost(metastore.ListedHost{
 		Name:        s.Host.Name,
 		Kind:        metastore.KindEntry,
@@ -54,7 +54,7 @@
 	})
 }
 
-func (b *Bed) hostSettings(i int) settings.Settings {
+func (b *Cluster) hostSettings(i int) settings.Settings {
 	s := settings.Defaults()
 	s.Host = settings.Host{
 		Name:   fmt.Sprintf("host-%d", i+1),
@@ -70,13 +70,13 @@
 	for _, host := range b.hosts {
 		s.Peers = append(s.Peers, host.PeerAddress())
 	}
-	if b.config.Tune != nil {
-		b.config.Tune(&s)
+	if b.config.ModifySettings != nil {
+		b.config.ModifySettings(&s)
 	}
 	return s
 }
 
-func (b *Bed) awaitReady() error {
+func (b *Cluster) awaitReady() error {
 	deadline := time.Now().Add(readyWithin)
 	for time.Now().Before(deadline) {
 		if b.ready() {
@@ -88,7 +88,7 @@
 }
 
 // ready wants every host to see all others, so that all agree on the homes.
-func (b *Bed) ready() bool {
+func (b *Cluster) ready() bool {
 	hosts := b.Hosts()
 	for _, host := range hosts {
 		status := host.Status()
@@ -100,7 +100,7 @@
 }
 
 // Hosts are the entry hosts that were started and not ended.
-func (b *Bed) Hosts() []*RunningHost {
+func (b *Cluster) Hosts() []*RunningHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var live []*RunningHost
@@ -113,7 +113,7 @@
 }
 
 // CallerAddresses are the callers' listeners of the live hosts.
-func (b *Bed) CallerAddresses() []string {
+func (b *Cluster) CallerAddresses() []string {
 	var addresses []string
 	for _, host := range b.Hosts() {
 		addresses = append(addresses, host.CallerAddress())
--- a/testbed/testbed.go
+++ b/testbed/testbed.go
@@ -36,8 +36,8 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Group is a set of services of one shape, searched together as one index.
-type Group struct {
+// ServiceGroup is a set of services of one shape, searched together as one index.
+type ServiceGroup struct {
 	Index       string
 	Services    int
 	Servers     int // per service
@@ -50,22 +50,22 @@
 
 // Config shapes a bed.
 type Config struct {
-	Groups    []Group
+	Groups    []ServiceGroup
 	Hosts     int
 	Documents bundle.Documents
-	// Holds makes servers hold only the published snapshots they are told to;
+	// ManualSnapshots makes servers hold only the published snapshots they are told to;
 	// otherwise every server answers from any snapshot.
-	Holds bool
+	ManualSnapshots bool
 	// CrashMarker in a request's body crashes a backend server.
 	CrashMarker string
 	Seed        uint64
 	Logger      *zap.Logger
-	// Tune may change a host's settings before it starts.
-	Tune func(*settings.Settings)
+	// ModifySettings may change a host's settings before it starts.
+	ModifySettings func(*settings.Settings)
 }
 
-// Bed is a running system.
-type Bed struct {
+// Cluster is a running system.
+type Cluster struct {
 	Platform        *standin.Platform
 	PlatformAddress string
 	Record          *standin.Record
@@ -95,11 +95,11 @@
 }
 
 // Start starts everything and returns when every host is ready.
-func Start(ctx context.Context, config Config) (*Bed, error) {
+func Start(ctx context.Context, config Config) (*Cluster, error) {
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
 	}
-	b := &Bed{
+	b := &Cluster{
 		Platform: standin.NewPlatform(),
 		Record:   standin.NewRecord(),
 		config:   config,
@@ -116,13 +116,13 @@
 	return b, nil
 }
 
-func (b *Bed) startPlatform() error {
+func (b *Cluster) startPlatform() error {
 	address, err := b.Platform.Start(anyPort)
 	b.PlatformAddress = address
 	return err
 }
 
-func (b *Bed) makeKeys() error {
+func (b *Cluster) makeKeys() error {
 	var public []settings.Signer
 	for _, name := range []string{"author", "reviewer"} {
 		key, err := bundle.GenerateKey(name)
@@ -140,7 +140,7 @@
 // ServiceName is the name of a group's i-th service.
 func ServiceName(group string, i int) string { return fmt.Sprintf("%s-%02d", group, i) }
 
-func (b *Bed) startBackends() error {
+func (b *Cluster) startBackends() error {
 	for _, group := range b.config.Groups {
 		for i := range group.Services {
 			for j := range group.Servers {
@@ -153,35 +153,35 @@
 	return nil
 }
 
-func (b *Bed) startBackend(group Group, service, server int) error {
+func (b *Cluster) startBackend(group ServiceGroup, service, server int) error {
 	name := ServiceName(group.Index, service)
 	config := standin.BackendConfig{
-		Name:        fmt.Sprintf("%s-%d", name, server),
-		Service:     name,
-		Region:      region,
-		Zone:        zones[(service+server)%len(zones)],
-		Slots:       group.Slots,
-		QueueLimit:  group.QueueLimit,
-		Connections: group.Connections,
-		Time:        group.Time,
-		CrashMarker: b.config.CrashMarker,
-		Seed:        b.config.Seed,
-		Record:      b.Record,
+		Name:           fmt.Sprintf("%s-%d", name, server),
+		Service:        name,
+		Region:         region,
+		Zone:           zones[(service+server)%len(zones)],
+		Slots:          group.Slots,
+		QueueLimit:     group.QueueLimit,
+		MaxConnections: group.Connections,
+		ServiceTime:    group.Time,
+		CrashMarker:    b.config.CrashMarker,
+		Seed:           b.config.Seed,
+		Record:         b.Record,
 	}
-	if b.config.Holds {
-		config.Holds = map[string][]snapshot.Version{}
+	if b.config.ManualSnapshots {
+		config.HeldSnapshots = map[string][]snapshot.Version{}
 	}
 	standIn := standin.NewBackend(config)
 	if err := standIn.Start(anyPort); err != nil {
 		return err
 	}
 	b.Backends = append(b.Backends, standIn)
-	b.List(standIn, metastore.StateLive)
+	b.SetServerState(standIn, metastore.StateLive)
 	return nil
 }
 
-// List puts a backend server on the host list in a state.
-func (b *Bed) List(standIn *standin.Backend, state metastore.HostState) {
+// SetServerState puts a backend server on the host list in a state.
+func (b *Cluster) SetServerState(standIn *standin.Backend, state metastore.HostState) {
 	server := standIn.Server()
 	b.Platform.AddHost(metastore.ListedHost{
 		Name:        server.Name,
@@ -195,8 +195,8 @@
 	})
 }
 
-// BackendsOf returns the servers of a service.
-func (b *Bed) BackendsOf(service string) []*standin.Backend {
+// BackendsOfService returns the servers of a service.
+func (b *Cluster) BackendsOfService(service string) []*standin.Backend {
 	var found []*standin.Backend
 	for _, standIn := range b.Backends {
 		if standIn.Server().Service == service {
@@ -206,9 +206,9 @@
 	return found
 }
 
-func (b *Bed) publishAll() error {
+func (b *Cluster) publishAll() error {
 	for _, group := range b.config.Groups {
-		if b.config.Holds {
+		if b.config.ManualSnapshots {
 			b.HoldAll(group.Index, 1)
 		}
 		if err := b.Publish(b.ShardMap(group.Index, 1)); err != nil {
@@ -219,14 +219,14 @@
 }
 
 // HoldAll makes all servers hold a snapshot.
-func (b *Bed) HoldAll(index string, version snapshot.Version) {
+func (b *Cluster) HoldAll(index string, version snapshot.Version) {
 	for _, standIn := range b.Backends {
-		standIn.Hold(index, version)
+		standIn.AddSnapshot(index, version)
 	}
 }
 
 // ShardMap makes the group's plain shard map: one shard for each service.
-func (b *Bed) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
+func (b *Cluster) ShardMap(index string, version snapshot.Version) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Index: index, Version: version}
 	for _, group := range b.config.Groups {
 		if group.Index != index {
@@ -240,7 +240,7 @@
 }
 
 // Publish puts a snapshot into the platform, as an index builder does.
-func (b *Bed) Publish(s *snapshot.Snapshot) error {
+func (b *Cluster) Publish(s *snapshot.Snapshot) error {
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -253,14 +253,14 @@
 	return err
 }
 
-// Published is the number of shards of a published snapshot; 0: none such.
-func (b *Bed) Published(index string, version snapshot.Version) int {
+// ShardCount is the number of shards of a published snapshot; 0: none such.
+func (b *Cluster) ShardCount(index string, version snapshot.Version) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.published[publishedKey{index, version}]
 }
 
-func (b *Bed) firstBundle() error {
+func (b *Cluster) firstBundle() error {
 	docs := b.config.Documents
 	for _, group := range b.config.Groups {
 		for i := range group.Services {
@@ -277,10 +277,10 @@
 }
 
 // Documents are those of the first bundle, with the services of the groups.
-func (b *Bed) Documents() bundle.Documents { return b.config.Documents }
+func (b *Cluster) Documents() bundle.Documents { return b.config.Documents }
 
 // Submit signs and submits documents as the next generation.
-func (b *Bed) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
+func (b *Cluster) Submit(docs bundle.Documents, reason string) (rollout.SubmitResult, error) {
 	change, err := rollout.Propose(b.ctx, b.Platform, docs, bundle.Proposal{
 		Author:  b.keys[0].Name,
 		Reason:  reason,
@@ -302,7 +302,7 @@
 }
 
 // Close ends everything at once, without planned stops.
-func (b *Bed) Close() {
+func (b *Cluster) Close() {
 	for _, host := range b.Hosts() {
 		host.Kill()
 	}
