--- a/load/direct.go
+++ b/load/direct.go
@@ -121,7 +121,7 @@
 	switch {
 	case have == total:
 		o.code = result.Complete.String()
-	case float64(have) >= r.stream.LeastCoverage*float64(total):
+	case float64(have) >= r.stream.MinCoverage*float64(total):
 		o.code = result.Partial.String()
 	default:
 		o.code = result.CoverageTooLow.String()
--- a/load/inject.go
+++ b/load/inject.go
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("%s-%d", testbed.ServiceName(index, service), server)
 }
 
-// Marked is an event that took place.
-type Marked struct {
+// AppliedEvent is an event that took place.
+type AppliedEvent struct {
 	Event Event         `json:"event"`
 	At    time.Duration `json:"at_ns"` // from the first arrival
 	Note  string        `json:"note,omitempty"`
@@ -48,7 +48,7 @@
 
 	work     sync.WaitGroup
 	mu       sync.Mutex
-	marks    []Marked
+	marks    []AppliedEvent
 	platform standin.PlatformFaults
 	versions map[string]snapshot.Version
 	changes  int
@@ -69,7 +69,7 @@
 }
 
 func (in *injector) mark(e Event, note string) {
-	m := Marked{Event: e, At: time.Since(in.start), Note: note}
+	m := AppliedEvent{Event: e, At: time.Since(in.start), Note: note}
 	in.mu.Lock()
 	in.marks = append(in.marks, m)
 	in.mu.Unlock()
--- a/load/load.go
+++ b/load/load.go
@@ -58,11 +58,11 @@
 	adviceFor = 2 * time.Second
 )
 
-// BrokenError says that promises were broken; the report names the requests.
-type BrokenError struct{ Count int }
+// ViolationError says that promises were broken; the report names the requests.
+type ViolationError struct{ Count int }
 
 // Error counts the broken promises.
-func (e *BrokenError) Error() string { return fmt.Sprintf("%d promises broken", e.Count) }
+func (e *ViolationError) Error() string { return fmt.Sprintf("%d promises broken", e.Count) }
 
 // run is one run under way.
 type run struct {
@@ -88,7 +88,7 @@
 	dropped  atomic.Int64
 }
 
-// Run carries out a run and reports it. The error is *BrokenError if a promise
+// Run carries out a run and reports it. The error is *ViolationError if a promise
 // was broken; the report is complete then too.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if options.Scale <= 0 {
@@ -106,8 +106,8 @@
 		return nil, err
 	}
 	report := r.drive(ctx)
-	if len(report.Broken) > 0 {
-		return report, &BrokenError{Count: len(report.Broken)}
+	if len(report.Violations) > 0 {
+		return report, &ViolationError{Count: len(report.Violations)}
 	}
 	return report, nil
 }
--- a/load/print.go
+++ b/load/print.go
@@ -64,14 +64,14 @@
 	if r.PoisonRuns > 0 {
 		fmt.Fprintf(w, "requests that crash servers ran %d times\n", r.PoisonRuns)
 	}
-	for _, b := range r.Broken[:min(len(r.Broken), maxBrokenShown)] {
+	for _, b := range r.Violations[:min(len(r.Violations), maxBrokenShown)] {
 		fmt.Fprintln(w, "BROKEN", b)
 	}
-	if len(r.Broken) == 0 {
+	if len(r.Violations) == 0 {
 		fmt.Fprintf(w, "%d replies checked against the stand-ins' record: every promise held\n", r.Checked)
 		return
 	}
-	fmt.Fprintf(w, "%d replies checked, %d promises broken: %v\n", r.Checked, len(r.Broken), byPromise(r.Broken))
+	fmt.Fprintf(w, "%d replies checked, %d promises broken: %v\n", r.Checked, len(r.Violations), byPromise(r.Violations))
 }
 
 func (r *Report) hasTier() bool {
--- a/load/report.go
+++ b/load/report.go
@@ -27,8 +27,8 @@
 	// Sides are in the order tier, direct.
 	Sides []SideReport `json:"sides"`
 	// Ratios are tier over direct.
-	Ratios []Ratio  `json:"ratios,omitempty"`
-	Events []Marked `json:"events,omitempty"`
+	Ratios []Ratio        `json:"ratios,omitempty"`
+	Events []AppliedEvent `json:"events,omitempty"`
 	// SenderLateP99 is how late the load tool itself sent: above a few
 	// milliseconds the machine is the limit, not the system.
 	SenderLateP99 float64 `json:"sender_late_p99_ms"`
@@ -40,7 +40,7 @@
 	// PoisonRuns is how many runs of poison requests crashed a server.
 	PoisonRuns int                 `json:"poison_runs,omitempty"`
 	Checked    int                 `json:"replies_checked"`
-	Broken     []testbed.Violation `json:"broken,omitempty"`
+	Violations []testbed.Violation `json:"broken,omitempty"`
 }
 
 // SideReport is one side's figures.
@@ -111,7 +111,7 @@
 		report.Ratios = append(ratios(tier.Rows, direct.Rows), ratios(tier.Routes, direct.Routes)...)
 	}
 	if r.checker != nil {
-		report.Broken, report.Checked = r.checker.Finish()
+		report.Violations, report.Checked = r.checker.Finish()
 		report.PoisonRuns = r.injector.poisonRuns()
 	}
 	return report
--- a/load/shape.go
+++ b/load/shape.go
@@ -21,8 +21,8 @@
 	// Booking sends one non-idempotent request to one shard.
 	Booking bool
 	Prefer  bundle.PartialStrategy
-	// LeastCoverage is the route's.
-	LeastCoverage float64
+	// MinCoverage is the route's.
+	MinCoverage float64
 }
 
 // Shape is a user's services and what callers ask of them.
@@ -152,7 +152,7 @@
 		Callers:     s.callersOf(stream.Role),
 		Classes:     []string{stream.Class},
 		Prefer:      stream.Prefer,
-		MinCoverage: stream.LeastCoverage,
+		MinCoverage: stream.MinCoverage,
 		MaxDeadline: bundle.Duration(s.longestWait()),
 	}
 }
