--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -7,54 +7,56 @@
 	"time"
 )
 
-// request is one arrival, the same for both sides of a comparison.
+// request is one arrival; both sides of a comparison get the same ones.
 type request struct {
 	stream Stream
 	caller string
 	body   []byte
-	// intended is when an open loop sends it; times count from here, so that
-	// a late sender hides nothing (coordinated omission).
+	// intended is the scheduled send time. Latencies count from it, so that a
+	// delayed sender does not hide them (coordinated omission).
 	intended time.Time
-	wait     time.Duration
-	// key spreads bookings over the shards.
+	timeout  time.Duration
+	// key selects the shard of a booking.
 	key uint64
 }
 
-func (r request) deadline() time.Time { return r.intended.Add(r.wait) }
+func (r request) deadline() time.Time { return r.intended.Add(r.timeout) }
 
-// row is the report's row that the request counts in.
-func (r request) row() string {
+// rowName returns the row of the report in which the request is counted.
+func (r request) rowName() string {
 	if r.stream.Booking {
 		return classBooking
 	}
 	return r.stream.Class
 }
 
-// arrivals draws independent Poisson processes, merged into one.
+// arrivals generates independent Poisson processes, one for each group, merged
+// into one.
 type arrivals struct {
 	shape  Shape
 	random *rand.Rand
-	rates  []float64 // by group
+	rates  []float64 // requests per second, by group
 	total  float64
-	made   int
+	count  int
 }
 
 func newArrivals(shape Shape, share float64, seed uint64) *arrivals {
 	a := &arrivals{shape: shape, random: rand.New(rand.NewPCG(seed, 1))}
 	for _, group := range shape.Groups {
-		rate := shape.rate(group, share)
-		a.rates = append(a.rates, rate)
-		a.total += rate
+		arrivalRate := shape.arrivalRate(group, share)
+		a.rates = append(a.rates, arrivalRate)
+		a.total += arrivalRate
 	}
 	return a
 }
 
-// run hands over every arrival at its time, until the run ends.
-func (a *arrivals) run(ctx context.Context, start time.Time, length time.Duration, send func(request)) {
+// run calls send for every arrival at its time, until the duration has passed or
+// ctx is done.
+func (a *arrivals) run(ctx context.Context, start time.Time, duration time.Duration, send func(request)) {
 	next := start
 	for {
 		next = next.Add(time.Duration(a.random.ExpFloat64() / a.total * float64(time.Second)))
-		if next.Sub(start) >= length || ctx.Err() != nil {
+		if next.Sub(start) >= duration || ctx.Err() != nil {
 			return
 		}
 		r := a.draw(next)
@@ -66,13 +68,13 @@
 func (a *arrivals) draw(at time.Time) request {
 	stream := a.drawStream(a.shape.Groups[drawIndex(a.random, a.rates)].Index)
 	key := a.random.Uint64()
-	a.made++
+	a.count++
 	return request{
 		stream:   stream,
 		caller:   a.drawCaller(stream.Role),
-		body:     fmt.Appendf(nil, `{"key":"item-%016x","n":%d}`, key, a.made),
+		body:     fmt.Appendf(nil, `{"key":"item-%016x","n":%d}`, key, a.count),
 		intended: at,
-		wait:     a.shape.wait(stream.Class),
+		timeout:  a.shape.timeout(stream.Class),
 		key:      key,
 	}
 }
@@ -89,7 +91,7 @@
 	return streams[drawIndex(a.random, shares)]
 }
 
-// drawCaller takes the i-th caller of a role with a weight of 1/i: a few
+// drawCaller picks the i-th caller of a role with weight 1/i, so that a few
 // callers send most of the requests.
 func (a *arrivals) drawCaller(role string) string {
 	weights := make([]float64, a.shape.CallersOfRole[role])
@@ -99,15 +101,15 @@
 	return callerName(role, drawIndex(a.random, weights))
 }
 
-// drawIndex draws a position by weight.
+// drawIndex returns a random index, distributed by the weights.
 func drawIndex(random *rand.Rand, weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
 		total += weight
 	}
-	at := random.Float64() * total
+	remaining := random.Float64() * total
 	for i, weight := range weights {
-		if at -= weight; at < 0 {
+		if remaining -= weight; remaining < 0 {
 			return i
 		}
 	}
--- a/load/cpu.go
+++ b/load/cpu.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// processorTime is what the process has used so far, user and system.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of the process so far.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -14,7 +14,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// peakMemory is the largest resident size of the process so far, in bytes.
+// peakMemory returns the peak resident set size of the process in bytes.
 func peakMemory() int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/load/direct.go
+++ b/load/direct.go
@@ -15,41 +15,41 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// refusedPause is how long a direct caller waits after every replica refused.
-const refusedPause = 2 * time.Millisecond
-
-// direct is what users would do without the system: every caller fans out to
-// the backend servers itself, with its share of their connections, to the
-// replica on which it has the least of its own calls, and tries another one
-// when a call surely did not run. The servers queue.
+// refusalBackoff is the pause of a direct caller after every replica has
+// refused.
+const refusalBackoff = 2 * time.Millisecond
+
+// direct is the side without entry hosts: every caller fans out to the backend
+// servers itself, with its share of their connections. It picks the replica with
+// the fewest of its own calls and retries on another one if a call surely did
+// not run. The servers queue requests.
 type direct struct {
-	shape   Shape
-	bed     *testbed.Cluster
-	callers map[string]*directCaller
-	// replicas are those of each service.
-	replicas map[string][]*replica
+	shape    Shape
+	cluster  *testbed.Cluster
+	callers  map[string]*directCaller
+	replicas map[string][]*replica // by service
 }
 
-// replica is one backend server, with an order number for the callers' counts.
+// replica is one backend server.
 type replica struct {
 	server func() backend.Server
-	place  int
+	index  int // in directCaller.slots and directCaller.inFlight
 }
 
 // directCaller is one caller process.
 type directCaller struct {
-	runner *backend.Client
-	// slots are its places at each server: its share of the connections.
+	client *backend.Client
+	// slots limits its calls to each server to its share of the connections.
 	slots []chan struct{}
-	// busy counts its calls waiting or under way at each server.
-	busy []atomic.Int64
+	// inFlight counts its queued and running calls to each server.
+	inFlight []atomic.Int64
 }
 
-func newDirect(shape Shape, bed *testbed.Cluster) *direct {
-	d := &direct{shape: shape, bed: bed, callers: make(map[string]*directCaller), replicas: make(map[string][]*replica)}
-	for place, standIn := range bed.Backends {
+func newDirect(shape Shape, cluster *testbed.Cluster) *direct {
+	d := &direct{shape: shape, cluster: cluster, callers: make(map[string]*directCaller), replicas: make(map[string][]*replica)}
+	for index, standIn := range cluster.Backends {
 		service := standIn.Server().Service
-		d.replicas[service] = append(d.replicas[service], &replica{server: standIn.Server, place: place})
+		d.replicas[service] = append(d.replicas[service], &replica{server: standIn.Server, index: index})
 	}
 	for role := range shape.CallersOfRole {
 		for _, name := range shape.callersOf(role) {
@@ -61,8 +61,8 @@
 
 func (d *direct) newCaller() *directCaller {
 	c := &directCaller{
-		runner: backend.NewClient(backend.Options{}),
-		busy:   make([]atomic.Int64, len(d.bed.Backends)),
+		client:   backend.NewClient(backend.Options{}),
+		inFlight: make([]atomic.Int64, len(d.cluster.Backends)),
 	}
 	for _, group := range d.shape.Groups {
 		share := max(1, group.Connections/d.callersOf(group.Index))
@@ -73,7 +73,8 @@
 	return c
 }
 
-// callersOf is how many callers use an index, and so share its connections.
+// callersOf returns the number of callers that use an index and share its
+// connections.
 func (d *direct) callersOf(index string) int {
 	roles := make(map[string]bool)
 	count := 0
@@ -88,7 +89,7 @@
 
 func (d *direct) close() {
 	for _, caller := range d.callers {
-		_ = caller.runner.Close()
+		_ = caller.client.Close()
 	}
 }
 
@@ -99,59 +100,59 @@
 		first = int(r.key % uint64(shards))
 		shards = 1
 	}
-	cut := scatter.CutOff(time.Now(), r.deadline(), r.stream.Prefer)
-	ctx, cancel := context.WithDeadline(ctx, cut)
+	cutOff := scatter.CutOff(time.Now(), r.deadline(), r.stream.Prefer)
+	ctx, cancel := context.WithDeadline(ctx, cutOff)
 	defer cancel()
 	id := ident.NewRequestID()
-	done := make(chan bool, shards)
+	answered := make(chan bool, shards)
 	for i := range shards {
-		go func() { done <- d.leg(ctx, r, id, first+i) }()
+		go func() { answered <- d.runLeg(ctx, r, id, first+i) }()
 	}
-	have := 0
+	covered := 0
 	for range shards {
-		if <-done {
-			have++
+		if <-answered {
+			covered++
 		}
 	}
-	return d.outcome(r, have, shards)
+	return d.outcome(r, covered, shards)
 }
 
-func (d *direct) outcome(r request, have, total int) outcome {
+func (d *direct) outcome(r request, covered, total int) outcome {
 	o := outcome{took: time.Since(r.intended), legs: total}
 	switch {
-	case have == total:
+	case covered == total:
 		o.code = result.Complete.String()
-	case float64(have) >= r.stream.MinCoverage*float64(total):
+	case float64(covered) >= r.stream.MinCoverage*float64(total):
 		o.code = result.Partial.String()
 	default:
 		o.code = result.CoverageTooLow.String()
 		return o
 	}
-	o.have, o.total = have, total
+	o.covered, o.total = covered, total
 	return o
 }
 
-// leg runs one shard's call until it ran, or may have run and must not run
-// again, or time is up.
-func (d *direct) leg(ctx context.Context, r request, id ident.RequestID, shard int) bool {
+// runLeg retries one shard's call until it is answered, until a booking may
+// have run, or until ctx is done. It reports whether there is an answer.
+func (d *direct) runLeg(ctx context.Context, r request, id ident.RequestID, shard int) bool {
 	caller := d.callers[r.caller]
 	replicas := d.replicas[testbed.ServiceName(r.stream.Index, shard)]
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		got := caller.run(ctx, caller.pick(replicas, attempt), d.call(r, id, shard, attempt))
-		if got.Usable() {
+		res := caller.run(ctx, caller.pick(replicas, attempt), d.newCall(r, id, shard, attempt))
+		if res.Usable() {
 			return true
 		}
-		if !got.Outcome.NotRun() && r.stream.Booking {
+		if !res.Outcome.NotRun() && r.stream.Booking {
 			return false
 		}
 		if attempt%len(replicas) == 0 {
-			wait.For(ctx, refusedPause)
+			wait.For(ctx, refusalBackoff)
 		}
 	}
 	return false
 }
 
-func (d *direct) call(r request, id ident.RequestID, shard, attempt int) backend.Call {
+func (d *direct) newCall(r request, id ident.RequestID, shard, attempt int) backend.Call {
 	return backend.Call{
 		Request:    id,
 		Attempt:    ident.AttemptID(shard<<16 | attempt),
@@ -166,31 +167,31 @@
 	}
 }
 
-// pick takes the replica with the least of the caller's own calls, at the
-// first attempt; later ones go round.
+// pick returns the replica with the fewest calls of this caller for the first
+// attempt, and rotates through the replicas for later ones.
 func (c *directCaller) pick(replicas []*replica, attempt int) *replica {
-	at := rand.IntN(len(replicas))
+	start := rand.IntN(len(replicas))
 	if attempt > 1 {
-		return replicas[(at+attempt)%len(replicas)]
+		return replicas[(start+attempt)%len(replicas)]
 	}
-	best := replicas[at]
+	best := replicas[start]
 	for i := range replicas {
-		other := replicas[(at+i)%len(replicas)]
-		if c.busy[other.place].Load() < c.busy[best.place].Load() {
+		other := replicas[(start+i)%len(replicas)]
+		if c.inFlight[other.index].Load() < c.inFlight[best.index].Load() {
 			best = other
 		}
 	}
 	return best
 }
 
-func (c *directCaller) run(ctx context.Context, to *replica, call backend.Call) backend.CallResult {
-	c.busy[to.place].Add(1)
-	defer c.busy[to.place].Add(-1)
+func (c *directCaller) run(ctx context.Context, target *replica, call backend.Call) backend.CallResult {
+	c.inFlight[target.index].Add(1)
+	defer c.inFlight[target.index].Add(-1)
 	select {
-	case c.slots[to.place] <- struct{}{}:
+	case c.slots[target.index] <- struct{}{}:
 	case <-ctx.Done():
 		return backend.CallResult{Outcome: result.OutcomeUnsent, Fault: backend.FaultDeadline}
 	}
-	defer func() { <-c.slots[to.place] }()
-	return c.runner.Run(ctx, to.server(), call)
+	defer func() { <-c.slots[target.index] }()
+	return c.client.Run(ctx, target.server(), call)
 }
--- a/load/inject.go
+++ b/load/inject.go
@@ -19,41 +19,40 @@
 )
 
 const (
-	// crashMarker in a body crashes the server that runs it.
+	// crashMarker in a request body crashes the server that runs it.
 	crashMarker = "load-poison"
-	// loadEvery is the time between two servers that load a new version.
-	loadEvery = 20 * time.Millisecond
+	// snapshotLoadInterval separates the servers' loads of a new index version.
+	snapshotLoadInterval = 20 * time.Millisecond
 )
 
 func serverName(index string, service, server int) string {
 	return fmt.Sprintf("%s-%d", testbed.ServiceName(index, service), server)
 }
 
-// AppliedEvent is an event that took place.
+// AppliedEvent is an event that the injector has applied.
 type AppliedEvent struct {
 	Event Event         `json:"event"`
-	At    time.Duration `json:"at_ns"` // from the first arrival
+	At    time.Duration `json:"at_ns"` // since the start of the run
 	Note  string        `json:"note,omitempty"`
 }
 
-// injector carries out the timeline on the tier's bed, and what concerns the
-// backend servers on the direct callers' bed too.
+// injector applies the timeline to the tier's cluster. Faults of backend servers
+// also apply to the cluster of the direct callers.
 type injector struct {
-	bed     *testbed.Cluster
-	beds    []*testbed.Cluster
-	checker *testbed.Checker
-	tier    *tier
-	start   time.Time
-	say     func(string)
+	cluster   *testbed.Cluster
+	clusters  []*testbed.Cluster
+	checker   *testbed.Checker
+	tier      *tier
+	start     time.Time
+	printLine func(string)
 
-	work     sync.WaitGroup
-	mu       sync.Mutex
-	marks    []AppliedEvent
-	platform standin.PlatformFaults
-	versions map[string]snapshot.Version
-	changes  int
-	// poisons are the digests of the poison requests' bodies.
-	poisons map[string]bool
+	work          sync.WaitGroup
+	mu            sync.Mutex
+	applied       []AppliedEvent
+	platform      standin.PlatformFaults
+	versions      map[string]snapshot.Version
+	policyChanges int
+	poisonDigests map[string]bool // digests of the poison requests' bodies
 }
 
 func (in *injector) run(ctx context.Context, events []Event) {
@@ -68,90 +67,90 @@
 	}
 }
 
-func (in *injector) mark(e Event, note string) {
-	m := AppliedEvent{Event: e, At: time.Since(in.start), Note: note}
+func (in *injector) record(e Event, note string) {
+	entry := AppliedEvent{Event: e, At: time.Since(in.start), Note: note}
 	in.mu.Lock()
-	in.marks = append(in.marks, m)
+	in.applied = append(in.applied, entry)
 	in.mu.Unlock()
-	in.say(fmt.Sprintf("%5.1f s  event: %s %s", m.At.Seconds(), e.label(), note))
+	in.printLine(fmt.Sprintf("%5.1f s  event: %s %s", entry.At.Seconds(), e.label(), note))
 }
 
 func (in *injector) apply(ctx context.Context, e Event) {
 	if e.Server != "" {
-		in.mark(e, "")
-		for _, bed := range in.beds {
-			in.applyToServer(ctx, bed, e)
+		in.record(e, "")
+		for _, cluster := range in.clusters {
+			in.applyToServer(ctx, cluster, e)
 		}
 		return
 	}
-	if in.bed == nil {
+	if in.cluster == nil {
 		return
 	}
 	switch e.Kind {
 	case KindStoreDown:
 		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.Down = on })
 	case KindStoreSlow:
-		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.Delay = onlyIf(on, e.Delay) })
+		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.Delay = delayIf(on, e.Delay) })
 	case KindHostsEmpty:
 		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostListEmpty = on })
 	case KindHostsLag:
-		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostListLag = onlyIf(on, e.Delay) })
+		in.platformFault(ctx, e, func(f *standin.PlatformFaults, on bool) { f.HostListLag = delayIf(on, e.Delay) })
 	case KindStoreSilent:
-		in.bed.Platform.BlackholeConnections()
-		in.mark(e, "")
+		in.cluster.Platform.BlackholeConnections()
+		in.record(e, "")
 	case KindLostWrite:
-		in.lostWrite(e)
+		in.submitWithLostReply(e)
 	case KindBundle:
-		in.mark(e, in.submit("load tool"))
+		in.record(e, in.submit("load tool"))
 	case KindRace:
-		in.race(e)
+		in.submitConcurrently(e)
 	case KindHostStop, KindHostKill, KindHostStart:
 		in.applyToHost(e)
 	case KindRepartition:
 		in.repartition(ctx, e)
 	case KindPoison:
-		in.poison(ctx, e)
+		in.sendPoison(ctx, e)
 	}
 }
 
-func onlyIf(on bool, d bundle.Duration) time.Duration {
+func delayIf(on bool, d bundle.Duration) time.Duration {
 	if !on {
 		return 0
 	}
 	return time.Duration(d)
 }
 
-// platformFault turns a fault on, and off after its time.
+// platformFault turns a platform fault on, and off again after e.For.
 func (in *injector) platformFault(ctx context.Context, e Event, set func(f *standin.PlatformFaults, on bool)) {
-	in.setPlatform(func(f *standin.PlatformFaults) { set(f, true) })
-	in.mark(e, "")
+	in.updatePlatformFaults(func(f *standin.PlatformFaults) { set(f, true) })
+	in.record(e, "")
 	if e.For == 0 {
 		return
 	}
 	wait.For(ctx, time.Duration(e.For))
-	in.setPlatform(func(f *standin.PlatformFaults) { set(f, false) })
+	in.updatePlatformFaults(func(f *standin.PlatformFaults) { set(f, false) })
 }
 
-func (in *injector) setPlatform(change func(*standin.PlatformFaults)) {
+func (in *injector) updatePlatformFaults(change func(*standin.PlatformFaults)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	change(&in.platform)
-	in.bed.Platform.SetFaults(in.platform)
+	in.cluster.Platform.SetFaults(in.platform)
 }
 
 func (in *injector) applyToHost(e Event) {
 	if e.Kind == KindHostStart {
-		_, err := in.bed.StartHost()
-		in.mark(e, noteOf(err))
+		_, err := in.cluster.StartHost()
+		in.record(e, errorText(err))
 		return
 	}
-	hosts := in.bed.Hosts()
+	hosts := in.cluster.Hosts()
 	if len(hosts) < 2 {
-		in.mark(e, "left out: one host is left")
+		in.record(e, "left out: one host is left")
 		return
 	}
 	oldest := hosts[0]
-	in.mark(e, oldest.Name())
+	in.record(e, oldest.Name())
 	if e.Kind == KindHostKill {
 		oldest.Kill()
 		return
@@ -159,50 +158,51 @@
 	_ = oldest.Stop()
 }
 
-func noteOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// submit puts a bundle with another retry budget in force.
+// submit submits a bundle with a changed retry budget and returns the result as
+// a note.
 func (in *injector) submit(reason string) string {
-	receipt, err := in.submitChange(reason)
+	submitted, err := in.submitChange(reason)
 	if err != nil {
-		return noteOf(err)
+		return errorText(err)
 	}
-	return fmt.Sprintf("generation %d", receipt.Ref.Generation)
+	return fmt.Sprintf("generation %d", submitted.Ref.Generation)
 }
 
 func (in *injector) submitChange(reason string) (rollout.SubmitResult, error) {
-	const leastBudget, steps = 0.05, 50
+	const minBudget, steps = 0.05, 50
 	in.mu.Lock()
-	in.changes++
-	changes := in.changes
+	in.policyChanges++
+	policyChanges := in.policyChanges
 	in.mu.Unlock()
-	docs := in.bed.Documents()
-	docs.Policy.RetryBudget = leastBudget + float64(changes%steps)/1000
-	return in.bed.Submit(docs, reason)
+	docs := in.cluster.Documents()
+	docs.Policy.RetryBudget = minBudget + float64(policyChanges%steps)/1000
+	return in.cluster.Submit(docs, reason)
 }
 
-func (in *injector) lostWrite(e Event) {
+func (in *injector) submitWithLostReply(e Event) {
 	in.mu.Lock()
 	faults := in.platform
 	in.mu.Unlock()
 	faults.LoseReplies = 1
-	in.bed.Platform.SetFaults(faults)
-	in.mark(e, in.submit("its reply is lost"))
+	in.cluster.Platform.SetFaults(faults)
+	in.record(e, in.submit("its reply is lost"))
 }
 
-// race lets two operators submit at once: one of them must get the conflict,
-// unless the second began after the first was done.
-func (in *injector) race(e Event) {
-	accepted, conflicts, open := 0, 0, 0
+// submitConcurrently submits bundles of two operators at once. One of them gets
+// the conflict unless the second starts after the first has finished.
+func (in *injector) submitConcurrently(e Event) {
+	accepted, conflicts, unknown := 0, 0, 0
 	var mu sync.Mutex
-	var work sync.WaitGroup
+	var group sync.WaitGroup
 	for _, name := range []string{"first operator", "second operator"} {
-		work.Go(func() {
+		group.Go(func() {
 			_, err := in.submitChange(name)
 			mu.Lock()
 			defer mu.Unlock()
@@ -213,44 +213,45 @@
 			case errors.As(err, &conflict):
 				conflicts++
 			default:
-				open++
+				unknown++
 			}
 		})
 	}
-	work.Wait()
-	in.mark(e, fmt.Sprintf("accepted %d, conflicts %d, open %d", accepted, conflicts, open))
+	group.Wait()
+	in.record(e, fmt.Sprintf("accepted %d, conflicts %d, open %d", accepted, conflicts, unknown))
 }
 
-// repartition moves every shard to the next service in a new version, which
-// the servers load one after the other.
+// repartition publishes an index version in which every shard belongs to another
+// service, and makes the servers load it one after the other.
 func (in *injector) repartition(ctx context.Context, e Event) {
 	in.mu.Lock()
 	in.versions[e.Index]++
 	version := in.versions[e.Index] + 1
 	in.mu.Unlock()
-	next := in.bed.ShardMap(e.Index, version)
+	next := in.cluster.ShardMap(e.Index, version)
 	services := len(next.Shards)
 	for i := range next.Shards {
 		next.Shards[i].Service = testbed.ServiceName(e.Index, (i+int(version))%services)
 	}
-	err := in.bed.Publish(next)
-	in.mark(e, noteOf(err))
-	for _, standIn := range in.bed.Backends {
+	err := in.cluster.Publish(next)
+	in.record(e, errorText(err))
+	for _, standIn := range in.cluster.Backends {
 		standIn.AddSnapshot(e.Index, version)
-		wait.For(ctx, loadEvery)
+		wait.For(ctx, snapshotLoadInterval)
 	}
 }
 
-// poison is a caller that sends its request again each time that it fails.
-func (in *injector) poison(ctx context.Context, e Event) {
-	in.mark(e, "")
+// sendPoison sends the same poison request e.Count times, as a caller that
+// retries after every failure does.
+func (in *injector) sendPoison(ctx context.Context, e Event) {
+	in.record(e, "")
 	stream, ok := firstQuery(in.tier.shape)
 	if !ok {
 		return
 	}
 	body := fmt.Appendf(nil, `{"marker":%q,"at":%q}`, crashMarker, time.Duration(e.At))
 	in.mu.Lock()
-	in.poisons[backend.Digest(body)] = true
+	in.poisonDigests[backend.Digest(body)] = true
 	in.mu.Unlock()
 	for range e.Count {
 		in.tier.send(ctx, request{
@@ -258,23 +259,25 @@
 			caller:   callerName(stream.Role, 0),
 			body:     body,
 			intended: time.Now(),
-			wait:     in.tier.shape.wait(stream.Class),
+			timeout:  in.tier.shape.timeout(stream.Class),
 		})
 	}
 }
 
-// poisonRuns counts the servers that poison requests crashed, each time.
+// poisonRuns returns how many times poison requests ran, each time crashing a
+// server.
 func (in *injector) poisonRuns() int {
 	count := 0
-	for _, run := range in.bed.Record.Runs() {
-		if in.poisons[run.Body] {
+	for _, run := range in.cluster.Record.Runs() {
+		if in.poisonDigests[run.Body] {
 			count++
 		}
 	}
 	return count
 }
 
-// firstQuery is the first stream that is no booking.
+// firstQuery returns the first stream that is not a booking; false if there is
+// none.
 func firstQuery(shape Shape) (Stream, bool) {
 	for _, stream := range shape.Streams {
 		if !stream.Booking {
@@ -284,31 +287,31 @@
 	return Stream{}, false
 }
 
-func (in *injector) applyToServer(ctx context.Context, bed *testbed.Cluster, e Event) {
-	for _, standIn := range bed.Backends {
+func (in *injector) applyToServer(ctx context.Context, cluster *testbed.Cluster, e Event) {
+	for _, standIn := range cluster.Backends {
 		if standIn.Server().Name == e.Server {
-			in.work.Go(func() { in.serverFault(ctx, bed, standIn, e) })
+			in.work.Go(func() { in.serverFault(ctx, cluster, standIn, e) })
 		}
 	}
 }
 
-func (in *injector) serverFault(ctx context.Context, bed *testbed.Cluster, standIn *standin.Backend, e Event) {
-	length := time.Duration(e.For)
+func (in *injector) serverFault(ctx context.Context, cluster *testbed.Cluster, standIn *standin.Backend, e Event) {
+	duration := time.Duration(e.For)
 	switch e.Kind {
 	case KindSlow:
 		standIn.SetFaults(standin.BackendFaults{SlowFactor: e.Factor})
-		undoAfter(ctx, length, func() { standIn.SetFaults(standin.BackendFaults{}) })
+		undoAfter(ctx, duration, func() { standIn.SetFaults(standin.BackendFaults{}) })
 	case KindLost:
-		standIn.Crash(orForGood(length))
+		standIn.Crash(crashDuration(duration))
 	case KindCrash:
-		standIn.Crash(length)
+		standIn.Crash(duration)
 	case KindDrain:
 		standIn.SetDraining(true)
-		undoAfter(ctx, length, func() { standIn.SetDraining(false) })
+		undoAfter(ctx, duration, func() { standIn.SetDraining(false) })
 	case KindLeave:
 		standIn.SetFaults(standin.BackendFaults{HideDraining: true})
-		bed.SetServerState(standIn, metastore.StateLeaving)
-		if bed == in.bed {
+		cluster.SetServerState(standIn, metastore.StateLeaving)
+		if cluster == in.cluster {
 			in.checker.ServerLeaving(e.Server, time.Now())
 		}
 	case KindSilent:
@@ -318,17 +321,17 @@
 	}
 }
 
-func orForGood(length time.Duration) time.Duration {
-	if length == 0 {
+func crashDuration(duration time.Duration) time.Duration {
+	if duration == 0 {
 		return -1
 	}
-	return length
+	return duration
 }
 
-func undoAfter(ctx context.Context, length time.Duration, undo func()) {
-	if length == 0 {
+func undoAfter(ctx context.Context, duration time.Duration, undo func()) {
+	if duration == 0 {
 		return
 	}
-	wait.For(ctx, length)
+	wait.For(ctx, duration)
 	undo()
 }
--- a/load/load.go
+++ b/load/load.go
@@ -1,8 +1,8 @@
-// Package load drives real entry hosts over loopback sockets with the users'
-// shapes: open-loop Poisson arrivals, a class mix, uneven callers, bookings and
-// faults on a timeline. It compares every answer with what the backend server
-// stand-ins ran, and reports latency, coverage and extra backend load, side by
-// side with callers that fan out directly.
+// Package load runs load tests against entry hosts over loopback sockets:
+// open-loop Poisson arrivals of several classes from unevenly active callers,
+// with bookings and a timeline of faults. It compares every answer with what the
+// backend server stand-ins ran, and reports latency, coverage and extra backend
+// load, optionally beside callers that fan out directly.
 package load
 
 import (
@@ -23,73 +23,74 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Shape Shape
 	Hosts int
-	// Share is the share of all slots that the arrivals use.
+	// Share is the utilization of all slots that the arrivals aim at.
 	Share float64
-	// Scale multiplies service times and deadlines; arrivals slow down by it.
+	// Scale multiplies service times and deadlines and divides the arrival rate.
 	Scale  float64
 	For    time.Duration
-	Warmup time.Duration // left out of the figures, not of the checks
+	Warmup time.Duration // excluded from the figures, not from the checks
 	Seed   uint64
 	Events []Event
-	// Tier and Direct say which sides run.
+	// Tier and Direct select the sides to run.
 	Tier, Direct bool
 	Policy       bundle.Policy
-	// Progress takes a line a second; nil: none.
+	// Progress receives a line each second; nil disables it.
 	Progress io.Writer
 	Logger   *zap.Logger
 }
 
 const (
-	// settleAfter is how long work may still be under way after the last reply.
-	settleAfter = 500 * time.Millisecond
-	// maxInFlight bounds the requests under way on one side: beyond it the
-	// machine, not the system, is what is measured.
+	// settleDelay lets work at backend servers end after the last reply.
+	settleDelay = 500 * time.Millisecond
+	// maxInFlight limits the requests in flight on one side; above it the run
+	// would measure the load generator. Further arrivals are dropped.
 	maxInFlight = 20000
-	// directQueue is the servers' own queue for direct callers; with the
-	// connection limit shared out among them it never overflows.
-	directQueue = 128
-	// sampleEvery is the pace of the looks at the hosts' generations.
-	sampleEvery = 50 * time.Millisecond
-	// adviceFor is short, so that planned stops fit into a run.
-	adviceFor = 2 * time.Second
+	// directQueueLimit is the servers' queueLimit limit for direct callers; their
+	// shares of the connection limit keep them below it.
+	directQueueLimit = 128
+	// sampleInterval separates two reads of the hosts' generations.
+	sampleInterval = 50 * time.Millisecond
+	// adviceTTL is short enough for planned stops to end within a run.
+	adviceTTL = 2 * time.Second
 )
 
-// ViolationError says that promises were broken; the report names the requests.
+// ViolationError reports that a checked promise was broken; the report names the
+// requests.
 type ViolationError struct{ Count int }
 
-// Error counts the broken promises.
+// Error implements error.
 func (e *ViolationError) Error() string { return fmt.Sprintf("%d promises broken", e.Count) }
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
-	options  Options
-	shape    Shape // scaled
-	bed      *testbed.Cluster
-	checker  *testbed.Checker
-	tier     *tier
-	sides    []*lane
-	injector *injector
-	start    time.Time
-	sending  *tally // lateness of the sender itself, in its only row
-	work     sync.WaitGroup
+	options     Options
+	shape       Shape // scaled
+	cluster     *testbed.Cluster
+	checker     *testbed.Checker
+	tier        *tier
+	sides       []*sideRun
+	injector    *injector
+	start       time.Time
+	senderDelay *stats // delays of the sender itself
+	work        sync.WaitGroup
 }
 
-// lane is one side with its bed and figures.
-type lane struct {
+// sideRun is one side with its cluster and statistics.
+type sideRun struct {
 	name     string
 	side     side
-	bed      *testbed.Cluster
-	tally    *tally
+	cluster  *testbed.Cluster
+	stats    *stats
 	inFlight atomic.Int64
 	dropped  atomic.Int64
 }
 
-// Run carries out a run and reports it. The error is *ViolationError if a promise
-// was broken; the report is complete then too.
+// Run performs a run and returns its report. If a checked promise was broken, it
+// returns the complete report and a *ViolationError.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if options.Scale <= 0 {
 		options.Scale = 1
@@ -105,7 +106,7 @@
 	if err := r.open(ctx); err != nil {
 		return nil, err
 	}
-	report := r.drive(ctx)
+	report := r.execute(ctx)
 	if len(report.Violations) > 0 {
 		return report, &ViolationError{Count: len(report.Violations)}
 	}
@@ -114,7 +115,7 @@
 
 func (r *run) open(ctx context.Context) error {
 	if !r.options.Tier && !r.options.Direct {
-		return errors.New("load: neither side is to run")
+		return errors.New("load: neither Tier nor Direct is set")
 	}
 	if err := checkEvents(r.options.Events, r.shape, r.shape.serverNames()); err != nil {
 		return err
@@ -142,16 +143,16 @@
 	return names
 }
 
-func (r *run) startBed(ctx context.Context, hosts, queue int) (*testbed.Cluster, error) {
+func (r *run) startCluster(ctx context.Context, hosts, queueLimit int) (*testbed.Cluster, error) {
 	policy := r.options.Policy
 	if policy.AdviceTTL == 0 {
-		policy.AdviceTTL = bundle.Duration(adviceFor)
+		policy.AdviceTTL = bundle.Duration(adviceTTL)
 	}
 	groups := append([]testbed.ServiceGroup(nil), r.shape.Groups...)
 	for i := range groups {
-		groups[i].QueueLimit = queue
+		groups[i].QueueLimit = queueLimit
 	}
-	bed, err := testbed.Start(ctx, testbed.Config{
+	cluster, err := testbed.Start(ctx, testbed.Config{
 		Groups:          groups,
 		Hosts:           hosts,
 		Documents:       r.shape.documents(policy),
@@ -159,99 +160,100 @@
 		CrashMarker:     crashMarker,
 		Seed:            r.options.Seed,
 		Logger:          r.options.Logger,
-		ModifySettings:  func(s *settings.Settings) { s.Limits.StopTimeout = r.shape.longestWait() },
+		ModifySettings:  func(s *settings.Settings) { s.Limits.StopTimeout = r.shape.maxTimeout() },
 	})
-	return bed, errors.Wrap(err, "load")
+	return cluster, errors.Wrap(err, "load")
 }
 
 func (r *run) openTier(ctx context.Context) error {
-	bed, err := r.startBed(ctx, r.options.Hosts, 0)
+	cluster, err := r.startCluster(ctx, r.options.Hosts, 0)
 	if err != nil {
 		return err
 	}
-	r.bed = bed
-	r.checker = testbed.NewChecker(bed.Record, bed.ShardCount)
-	r.tier, err = newTier(r.shape, bed, r.checker)
+	r.cluster = cluster
+	r.checker = testbed.NewChecker(cluster.Record, cluster.ShardCount)
+	r.tier, err = newTier(r.shape, cluster, r.checker)
 	if err != nil {
 		return err
 	}
-	r.sides = append(r.sides, &lane{name: sideTier, side: r.tier, bed: bed})
+	r.sides = append(r.sides, &sideRun{name: sideTier, side: r.tier, cluster: cluster})
 	return nil
 }
 
 func (r *run) openDirect(ctx context.Context) error {
-	bed, err := r.startBed(ctx, 0, directQueue)
+	cluster, err := r.startCluster(ctx, 0, directQueueLimit)
 	if err != nil {
 		return err
 	}
-	r.sides = append(r.sides, &lane{name: sideDirect, side: newDirect(r.shape, bed), bed: bed})
+	r.sides = append(r.sides, &sideRun{name: sideDirect, side: newDirect(r.shape, cluster), cluster: cluster})
 	return nil
 }
 
+// close stops the sides and their clusters.
 func (r *run) close() {
-	for _, lane := range r.sides {
-		if c, ok := lane.side.(interface{ close() }); ok {
+	for _, s := range r.sides {
+		if c, ok := s.side.(interface{ close() }); ok {
 			c.close()
 		}
-		lane.bed.Close()
+		s.cluster.Close()
 	}
 }
 
-// drive sends everything, waits for the last reply and makes the report.
-func (r *run) drive(ctx context.Context) *Report {
+// execute sends all requests, waits for the last reply and builds the report.
+func (r *run) execute(ctx context.Context) *Report {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	before := processorTime()
+	cpuBefore := cpuTime()
 	r.start = time.Now()
-	r.sending = newTally(r.start, 0)
-	for _, lane := range r.sides {
-		lane.tally = newTally(r.start, r.options.Warmup)
+	r.senderDelay = newStats(r.start, 0)
+	for _, s := range r.sides {
+		s.stats = newStats(r.start, r.options.Warmup)
 	}
-	r.inject(ctx)
+	r.startInjector(ctx)
 	go r.progress(ctx)
-	go r.sample(ctx)
+	go r.observeGenerations(ctx)
 	newArrivals(r.shape, r.options.Share, r.options.Seed).run(ctx, r.start, r.options.For, r.send)
 	r.work.Wait()
-	used := processorTime() - before
-	time.Sleep(settleAfter)
+	cpuUsed := cpuTime() - cpuBefore
+	time.Sleep(settleDelay)
 	cancel()
 	r.injector.work.Wait()
-	return r.report(used)
+	return r.report(cpuUsed)
 }
 
-func (r *run) inject(ctx context.Context) {
+func (r *run) startInjector(ctx context.Context) {
 	r.injector = &injector{
-		bed:      r.bed,
-		checker:  r.checker,
-		tier:     r.tier,
-		start:    r.start,
-		say:      func(line string) { fmt.Fprintln(r.options.Progress, line) },
-		versions: make(map[string]snapshot.Version),
-		poisons:  make(map[string]bool),
+		cluster:       r.cluster,
+		checker:       r.checker,
+		tier:          r.tier,
+		start:         r.start,
+		printLine:     func(line string) { fmt.Fprintln(r.options.Progress, line) },
+		versions:      make(map[string]snapshot.Version),
+		poisonDigests: make(map[string]bool),
 	}
-	for _, lane := range r.sides {
-		r.injector.beds = append(r.injector.beds, lane.bed)
+	for _, s := range r.sides {
+		r.injector.clusters = append(r.injector.clusters, s.cluster)
 	}
 	r.injector.run(ctx, r.options.Events)
 }
 
-// send hands one arrival to every side at the same time.
+// send sends one arrival to every side at the same time.
 func (r *run) send(q request) {
-	r.sending.add(q, outcome{took: time.Since(q.intended)})
-	for _, lane := range r.sides {
-		if lane.inFlight.Add(1) > maxInFlight {
-			lane.inFlight.Add(-1)
-			lane.dropped.Add(1)
+	r.senderDelay.add(q, outcome{took: time.Since(q.intended)})
+	for _, s := range r.sides {
+		if s.inFlight.Add(1) > maxInFlight {
+			s.inFlight.Add(-1)
+			s.dropped.Add(1)
 			continue
 		}
 		r.work.Go(func() {
-			defer lane.inFlight.Add(-1)
-			lane.tally.add(q, lane.side.send(context.Background(), q))
+			defer s.inFlight.Add(-1)
+			s.stats.add(q, s.side.send(context.Background(), q))
 		})
 	}
 }
 
-// progress writes a line a second.
+// progress writes a line each second.
 func (r *run) progress(ctx context.Context) {
 	for {
 		wait.For(ctx, time.Second)
@@ -259,24 +261,25 @@
 			return
 		}
 		line := fmt.Sprintf("%5.1f s", time.Since(r.start).Seconds())
-		for _, lane := range r.sides {
-			requests, answers := lane.tally.counts()
-			line += fmt.Sprintf("  %s: %d replies, %d answers, %d in flight", lane.name, requests, answers, lane.inFlight.Load())
+		for _, s := range r.sides {
+			requests, answers := s.stats.counts()
+			line += fmt.Sprintf("  %s: %d replies, %d answers, %d in flight", s.name, requests, answers, s.inFlight.Load())
 		}
 		fmt.Fprintln(r.options.Progress, line)
 	}
 }
 
-// sample looks at the hosts' generations, which may only rise.
-func (r *run) sample(ctx context.Context) {
-	if r.bed == nil {
+// observeGenerations feeds the hosts' generations to the checker, which requires
+// that they never decrease.
+func (r *run) observeGenerations(ctx context.Context) {
+	if r.cluster == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		for _, host := range r.bed.Hosts() {
+		for _, host := range r.cluster.Hosts() {
 			status := host.Status()
 			r.checker.ObserveGeneration(fmt.Sprintf("%s/%d", status.Host, status.Incarnation), status.Generation)
 		}
-		wait.For(ctx, sampleEvery)
+		wait.For(ctx, sampleInterval)
 	}
 }
--- a/load/plot.go
+++ b/load/plot.go
@@ -20,15 +20,15 @@
 	lineWidth  = vg.Length(1.5)
 )
 
-// percentiles of the latency plots.
+// percentiles are the points of the latency plot.
 var percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.9}
 
 var eventColor = color.Gray{Y: 0xa0}
 
-// WritePlots writes SVG files into the directory, which it makes if need be.
+// WritePlots writes SVG files into the directory, which it creates if needed.
 func (r *Report) WritePlots(directory string) error {
-	const readable = 0o755
-	if err := os.MkdirAll(directory, readable); err != nil {
+	const directoryMode = 0o755
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return errors.Wrap(err, "plots")
 	}
 	for name, draw := range map[string]func(*plot.Plot) error{
@@ -52,12 +52,12 @@
 	p.Title.Text = "Latency by class"
 	p.X.Label.Text = "percentile"
 	p.Y.Label.Text = "ms"
-	return r.eachRow(func(n int, side SideReport, c RowReport) error {
+	return r.eachRow(func(n int, side SideReport, row RowReport) error {
 		var points plotter.XYs
 		for _, percentile := range percentiles {
-			points = append(points, plotter.XY{X: percentile, Y: milliseconds(side.rows[c.Name].times, percentile)})
+			points = append(points, plotter.XY{X: percentile, Y: milliseconds(side.rows[row.Name].times, percentile)})
 		}
-		return addLine(p, side.Name+" "+c.Name, n, side.Name, points)
+		return addLine(p, side.Name+" "+row.Name, n, side.Name, points)
 	})
 }
 
@@ -65,9 +65,9 @@
 	p.Title.Text = "p99 by second of arrival"
 	p.X.Label.Text = "s"
 	p.Y.Label.Text = "ms"
-	err := r.eachRow(func(n int, side SideReport, c RowReport) error {
-		points := side.overTime(func(s *second) (float64, bool) { return p99Of(s.times[c.Name]) })
-		return addLine(p, side.Name+" "+c.Name, n, side.Name, points)
+	err := r.eachRow(func(n int, side SideReport, row RowReport) error {
+		points := side.pointsPerSecond(func(s *second) (float64, bool) { return p99Of(s.times[row.Name]) })
+		return addLine(p, side.Name+" "+row.Name, n, side.Name, points)
 	})
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 	p.X.Label.Text = "s"
 	p.Y.Label.Text = "share of shards"
 	for n, side := range r.Sides {
-		points := side.overTime(func(s *second) (float64, bool) {
+		points := side.pointsPerSecond(func(s *second) (float64, bool) {
 			return s.coverage / float64(max(s.answers, 1)), s.answers > 0
 		})
 		if err := addLine(p, side.Name, n, side.Name, points); err != nil {
@@ -102,7 +102,7 @@
 	p.X.Label.Text = "s"
 	p.Y.Label.Text = "share"
 	for n, side := range r.Sides {
-		points := side.overTime(func(s *second) (float64, bool) {
+		points := side.pointsPerSecond(func(s *second) (float64, bool) {
 			return float64(s.runs)/float64(max(s.legs, 1)) - 1, s.legs > 0
 		})
 		if err := addLine(p, side.Name, n, side.Name, points); err != nil {
@@ -112,11 +112,12 @@
 	return r.addEvents(p)
 }
 
-// eachRow numbers the classes, the same on both sides.
-func (r *Report) eachRow(f func(n int, side SideReport, c RowReport) error) error {
+// eachRow calls f for every class of every side; n is the class's index, which
+// selects its color on both sides.
+func (r *Report) eachRow(f func(n int, side SideReport, row RowReport) error) error {
 	for _, side := range r.Sides {
-		for n, c := range side.Rows {
-			if err := f(n, side, c); err != nil {
+		for n, row := range side.Rows {
+			if err := f(n, side, row); err != nil {
 				return err
 			}
 		}
@@ -124,7 +125,7 @@
 	return nil
 }
 
-func (s SideReport) overTime(value func(*second) (float64, bool)) plotter.XYs {
+func (s SideReport) pointsPerSecond(value func(*second) (float64, bool)) plotter.XYs {
 	var points plotter.XYs
 	for i, at := range s.seconds {
 		if y, ok := value(at); ok {
@@ -134,7 +135,7 @@
 	return points
 }
 
-// addLine draws the direct side dashed.
+// addLine adds a line in the n-th color, dashed for the direct side.
 func addLine(p *plot.Plot, name string, n int, side string, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -154,22 +155,22 @@
 	return nil
 }
 
-// addEvents marks each event by an upright line with its name.
+// addEvents marks each event by a vertical line with its label.
 func (r *Report) addEvents(p *plot.Plot) error {
 	low, high := p.Y.Min, p.Y.Max
-	for _, m := range r.Events {
-		x := m.At.Seconds()
+	for _, event := range r.Events {
+		x := event.At.Seconds()
 		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: low}, {X: x, Y: high}})
 		if err != nil {
 			return err
 		}
 		line.Color = eventColor
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: low}}, Labels: []string{m.Event.label()}})
+		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: low}}, Labels: []string{event.Event.label()}})
 		if err != nil {
 			return err
 		}
 		for i := range label.TextStyle {
-			label.TextStyle[i].Rotation = 1.5708 // a quarter turn
+			label.TextStyle[i].Rotation = 1.5708 // a quarter turn in radians
 		}
 		p.Add(line, label)
 	}
--- a/load/print.go
+++ b/load/print.go
@@ -11,17 +11,18 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// maxBrokenShown bounds the broken promises that the text names; JSON has all.
-const maxBrokenShown = 50
+// maxViolationsShown limits the violations that WriteText lists; WriteJSON writes
+// all of them.
+const maxViolationsShown = 50
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text tables.
 func (r *Report) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "\nshape %s, %d hosts, %.0f%% of slots, times x%g, %s, seed %d\n", r.Shape, r.Hosts, 100*r.Share, r.Scale, r.For, r.Seed)
 	for _, side := range r.Sides {
@@ -32,14 +33,14 @@
 	}
 	fmt.Fprintf(w, "processor: %.1f cores, %.0f us for each backend run (callers and stand-ins included); peak memory %d MB; sender late by p99 %.1f ms\n",
 		r.CPUCores, r.CPUPerLeg, r.PeakMemory>>20, r.SenderLateP99)
-	r.writePromises(w)
+	r.writeViolations(w)
 }
 
 func (s SideReport) writeText(w io.Writer) {
 	fmt.Fprintf(w, "\n%-8s %-12s %7s %9s %9s %9s %9s %9s %9s  results\n", s.Name, "class, route", "count", "p50 ms", "p99 ms", "p99.9 ms", "answered", "complete", "coverage")
-	for _, c := range append(s.Rows, s.Routes...) {
-		fmt.Fprintf(w, "%-8s %-12s %7d %9.1f %9.1f %9.1f %8.2f%% %8.2f%% %8.2f%%  %s\n", "", c.Name, c.Count, c.P50, c.P99, c.P999,
-			100*c.Answered, 100*c.Complete, 100*c.Coverage, codesText(c.Codes))
+	for _, row := range append(s.Rows, s.Routes...) {
+		fmt.Fprintf(w, "%-8s %-12s %7d %9.1f %9.1f %9.1f %8.2f%% %8.2f%% %8.2f%%  %s\n", "", row.Name, row.Count, row.P50, row.P99, row.P999,
+			100*row.Answered, 100*row.Complete, 100*row.Coverage, codesText(row.Codes))
 	}
 	for _, slow := range s.Slowest {
 		fmt.Fprintf(w, "%-8s slow: %s %s at %.1f s took %.0f ms, %s; %d runs, the last from %.0f to %.0f ms\n", "",
@@ -50,38 +51,38 @@
 }
 
 func codesText(codes map[string]int) string {
-	var words []string
+	var pairs []string
 	for _, name := range slices.Sorted(maps.Keys(codes)) {
-		words = append(words, fmt.Sprintf("%s=%d", name, codes[name]))
+		pairs = append(pairs, fmt.Sprintf("%s=%d", name, codes[name]))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(pairs, " ")
 }
 
-func (r *Report) writePromises(w io.Writer) {
+func (r *Report) writeViolations(w io.Writer) {
 	if !r.hasTier() {
 		return
 	}
 	if r.PoisonRuns > 0 {
 		fmt.Fprintf(w, "requests that crash servers ran %d times\n", r.PoisonRuns)
 	}
-	for _, b := range r.Violations[:min(len(r.Violations), maxBrokenShown)] {
-		fmt.Fprintln(w, "BROKEN", b)
+	for _, violation := range r.Violations[:min(len(r.Violations), maxViolationsShown)] {
+		fmt.Fprintln(w, "BROKEN", violation)
 	}
 	if len(r.Violations) == 0 {
 		fmt.Fprintf(w, "%d replies checked against the stand-ins' record: every promise held\n", r.Checked)
 		return
 	}
-	fmt.Fprintf(w, "%d replies checked, %d promises broken: %v\n", r.Checked, len(r.Violations), byPromise(r.Violations))
+	fmt.Fprintf(w, "%d replies checked, %d promises broken: %v\n", r.Checked, len(r.Violations), countByPromise(r.Violations))
 }
 
 func (r *Report) hasTier() bool {
 	return slices.ContainsFunc(r.Sides, func(s SideReport) bool { return s.Name == sideTier })
 }
 
-func byPromise(broken []testbed.Violation) map[string]int {
+func countByPromise(violations []testbed.Violation) map[string]int {
 	counts := make(map[string]int)
-	for _, b := range broken {
-		counts[b.Promise]++
+	for _, violation := range violations {
+		counts[violation.Promise]++
 	}
 	return counts
 }
--- a/load/shape.go
+++ b/load/shape.go
@@ -9,69 +9,71 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// Stream is one kind of request on one index.
+// Stream is a stream of requests of one route.
 type Stream struct {
 	Index string
 	Route string
 	Class string
-	// Role is the callers' role; its callers share the stream unevenly.
+	// Role names the group of callers that send the stream.
 	Role string
-	// Share is the stream's part of the index's requests.
+	// Share is the stream's share of the index's requests.
 	Share float64
-	// Booking sends one non-idempotent request to one shard.
+	// Booking streams send non-idempotent requests to one shard each.
 	Booking bool
 	Prefer  bundle.PartialStrategy
-	// MinCoverage is the route's.
+	// MinCoverage is the route's minimum coverage of an answer.
 	MinCoverage float64
 }
 
-// Shape is a user's services and what callers ask of them.
+// Shape describes a deployment's services and its callers' requests.
 type Shape struct {
 	Name    string
 	Groups  []testbed.ServiceGroup
 	Classes []bundle.Class
 	Streams []Stream
-	// CallersOfRole is how many callers each role has.
+	// CallersOfRole is the number of callers of each role.
 	CallersOfRole map[string]int
 }
 
-// scaled makes service times and deadlines longer by the factor, so that a
-// small machine carries the same share of slots with less processor time.
+// scaled multiplies service times and deadlines by the factor: the same slot
+// utilization then takes less CPU time.
 func (s Shape) scaled(factor float64) Shape {
 	groups := append([]testbed.ServiceGroup(nil), s.Groups...)
 	for i := range groups {
-		groups[i].Time = scaleTime(groups[i].Time, factor)
+		groups[i].Time = scaleServiceTime(groups[i].Time, factor)
 	}
 	classes := append([]bundle.Class(nil), s.Classes...)
 	for i := range classes {
-		classes[i].DefaultDeadline = bundle.Duration(scale(time.Duration(classes[i].DefaultDeadline), factor))
+		classes[i].DefaultDeadline = bundle.Duration(scaleDuration(time.Duration(classes[i].DefaultDeadline), factor))
 	}
 	s.Groups, s.Classes = groups, classes
 	return s
 }
 
-func scale(d time.Duration, factor float64) time.Duration {
+func scaleDuration(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * factor)
 }
 
-func scaleTime(t standin.ServiceTime, factor float64) standin.ServiceTime {
-	t.Base = scale(t.Base, factor)
-	t.Mean = scale(t.Mean, factor)
-	t.Straggler = scale(t.Straggler, factor)
+func scaleServiceTime(t standin.ServiceTime, factor float64) standin.ServiceTime {
+	t.Base = scaleDuration(t.Base, factor)
+	t.Mean = scaleDuration(t.Mean, factor)
+	t.Straggler = scaleDuration(t.Straggler, factor)
 	return t
 }
 
-func meanTime(t standin.ServiceTime) time.Duration {
-	return t.Base + t.Mean + scale(t.Straggler, t.StragglerShare)
+func meanServiceTime(t standin.ServiceTime) time.Duration {
+	return t.Base + t.Mean + scaleDuration(t.Straggler, t.StragglerShare)
 }
 
-// rate is how many requests a second of the group's streams use the share of
-// its slots: a query takes a slot in every service, a booking in one.
-func (s Shape) rate(g testbed.ServiceGroup, share float64) float64 {
-	perService := float64(g.Servers*g.Slots) / meanTime(g.Time).Seconds()
+// arrivalRate returns the requests per second of the group's streams that use the
+// share of its slots: a query takes a slot in every service, a booking in one.
+func (s Shape) arrivalRate(g testbed.ServiceGroup, share float64) float64 {
+	perService := float64(g.Servers*g.Slots) / meanServiceTime(g.Time).Seconds()
 	return share * perService / s.legsPerService(g)
 }
 
+// legsPerService returns the mean number of legs that a request of the group's
+// streams runs at each of its services.
 func (s Shape) legsPerService(g testbed.ServiceGroup) float64 {
 	legs, shares := 0.0, 0.0
 	for _, stream := range s.Streams {
@@ -97,7 +99,7 @@
 	return 0
 }
 
-func (s Shape) wait(class string) time.Duration {
+func (s Shape) timeout(class string) time.Duration {
 	for _, c := range s.Classes {
 		if c.Name == class {
 			return time.Duration(c.DefaultDeadline)
@@ -106,17 +108,17 @@
 	return time.Second
 }
 
-func (s Shape) longestWait() time.Duration {
-	longest := time.Duration(0)
+func (s Shape) maxTimeout() time.Duration {
+	timeout := time.Duration(0)
 	for _, class := range s.Classes {
-		longest = max(longest, time.Duration(class.DefaultDeadline))
+		timeout = max(timeout, time.Duration(class.DefaultDeadline))
 	}
-	return longest
+	return timeout
 }
 
 func callerName(role string, i int) string { return fmt.Sprintf("%s-%d", role, i+1) }
 
-func tokenOf(caller string) string { return "load-token-of-" + caller }
+func callerToken(caller string) string { return "load-token-of-" + caller }
 
 func (s Shape) callersOf(role string) []string {
 	names := make([]string, s.CallersOfRole[role])
@@ -126,12 +128,12 @@
 	return names
 }
 
-// documents are the shape's bundle; the testbed adds the services.
+// documents returns the shape's bundle; the testbed adds the services.
 func (s Shape) documents(policy bundle.Policy) bundle.Documents {
 	docs := bundle.Documents{Classes: s.Classes, Policy: policy}
 	for role := range s.CallersOfRole {
 		for _, name := range s.callersOf(role) {
-			docs.Callers = append(docs.Callers, bundle.Caller{Name: name, TokenSHA256: testbed.TokenHash(tokenOf(name))})
+			docs.Callers = append(docs.Callers, bundle.Caller{Name: name, TokenSHA256: testbed.TokenHash(callerToken(name))})
 		}
 	}
 	for _, stream := range s.Streams {
@@ -153,6 +155,6 @@
 		Classes:     []string{stream.Class},
 		Prefer:      stream.Prefer,
 		MinCoverage: stream.MinCoverage,
-		MaxDeadline: bundle.Duration(s.longestWait()),
+		MaxDeadline: bundle.Duration(s.maxTimeout()),
 	}
 }
--- a/load/shapes.go
+++ b/load/shapes.go
@@ -15,27 +15,26 @@
 	classInteractive = "interactive"
 	classStandard    = "standard"
 	classBatch       = "batch"
-	// classBooking is the report's row of bookings.
+	// classBooking names the report row of bookings.
 	classBooking = "booking"
 )
 
-// shortWork is mostly about 5 ms, and 2% straggle.
-var shortWork = standin.ServiceTime{
+// shortServiceTime is the service time of interactive lookups.
+var shortServiceTime = standin.ServiceTime{
 	Base:           time.Millisecond,
 	Mean:           4 * time.Millisecond,
 	Straggler:      40 * time.Millisecond,
 	StragglerShare: 0.02,
 }
 
-// longWork is that of exports and accounts.
-var longWork = standin.ServiceTime{
+// longServiceTime is the service time of exports and accounting.
+var longServiceTime = standin.ServiceTime{
 	Base:           10 * time.Millisecond,
 	Mean:           20 * time.Millisecond,
 	Straggler:      100 * time.Millisecond,
 	StragglerShare: 0.02,
 }
 
-// classes have the deadlines of a screen, of sales staff and of an export.
 func classes() []bundle.Class {
 	return []bundle.Class{
 		{Name: classInteractive, ReservedShare: 0.5, DefaultDeadline: bundle.Duration(250 * time.Millisecond)},
@@ -44,23 +43,23 @@
 	}
 }
 
-// pairs is a group of services with two small servers each.
-func pairs(index string, services int) testbed.ServiceGroup {
-	return testbed.ServiceGroup{Index: index, Services: services, Servers: 2, Slots: 2, Connections: 25, Time: shortWork}
+// twoServerGroup returns a group of services with two small servers each.
+func twoServerGroup(index string, services int) testbed.ServiceGroup {
+	return testbed.ServiceGroup{Index: index, Services: services, Servers: 2, Slots: 2, Connections: 25, Time: shortServiceTime}
 }
 
-// single is one service of several larger servers.
-func single(index string, servers, connections int) testbed.ServiceGroup {
-	return testbed.ServiceGroup{Index: index, Services: 1, Servers: servers, Slots: 6, Connections: connections, Time: longWork}
+// oneServiceGroup returns a group of one service with several larger servers.
+func oneServiceGroup(index string, servers, connections int) testbed.ServiceGroup {
+	return testbed.ServiceGroup{Index: index, Services: 1, Servers: servers, Slots: 6, Connections: connections, Time: longServiceTime}
 }
 
-// Plakatna is the shape of Plakatna Mreža.
+// Plakatna returns the shape of Plakatna Mreža's deployment.
 func Plakatna() Shape {
 	return Shape{
 		Name: "plakatna",
 		Groups: []testbed.ServiceGroup{
-			pairs("booking-desk", 20), pairs("transit-planner", 30),
-			single("archive-svc", 7, 100), single("billing", 3, 100),
+			twoServerGroup("booking-desk", 20), twoServerGroup("transit-planner", 30),
+			oneServiceGroup("archive-svc", 7, 100), oneServiceGroup("billing", 3, 100),
 		},
 		Classes:       classes(),
 		CallersOfRole: map[string]int{"screens": 3, "sales": 3, "transit": 2},
@@ -77,13 +76,14 @@
 	}
 }
 
-// Vltava is the shape of the Vltava academy, whose lookups must be complete.
+// Vltava returns the shape of the Vltava academy's deployment, in which most
+// answers must be complete.
 func Vltava() Shape {
 	return Shape{
 		Name: "vltava",
 		Groups: []testbed.ServiceGroup{
-			pairs("booking-portal", 20), pairs("cert-issuer", 30),
-			single("exam-desk", 4, 50), single("billing-sync", 4, 50),
+			twoServerGroup("booking-portal", 20), twoServerGroup("cert-issuer", 30),
+			oneServiceGroup("exam-desk", 4, 50), oneServiceGroup("billing-sync", 4, 50),
 		},
 		Classes:       classes(),
 		CallersOfRole: map[string]int{"trainees": 3, "assessors": 3, "office": 2},
@@ -100,12 +100,12 @@
 	}
 }
 
-// ShapeByName finds one of the users' shapes.
+// ShapeByName returns the shape named plakatna or vltava.
 func ShapeByName(name string) (Shape, error) {
 	for _, shape := range []Shape{Plakatna(), Vltava()} {
 		if shape.Name == name {
 			return shape, nil
 		}
 	}
-	return Shape{}, errors.Errorf("no shape %q: use plakatna or vltava", name)
+	return Shape{}, errors.Errorf("unknown shape %q: use plakatna or vltava", name)
 }
--- a/load/tier.go
+++ b/load/tier.go
@@ -10,37 +10,37 @@
 	"github.com/goldcrestspan/goldcrestspan/testbed"
 )
 
-// outcome is what a caller saw of one request.
+// outcome is the result of one request as its caller saw it.
 type outcome struct {
-	took time.Duration // from the intended time of sending
+	took time.Duration // since the scheduled send time
 	code string
-	// legs is how many shards had to answer; 0 when it was refused unrun.
-	legs        int
-	have, total int // coverage; total is 0 without an answer
-	request     string
+	// legs is the number of shards that had to answer; 0 if the request was
+	// refused without running.
+	legs           int
+	covered, total int // shards; total is 0 without an answer
+	request        string
 }
 
 func (o outcome) answered() bool { return o.total > 0 }
 
-// side carries requests: through the entry hosts, or directly.
+// side sends requests through the entry hosts or directly.
 type side interface {
 	send(ctx context.Context, r request) outcome
 }
 
-// tier sends through entry hosts with the callers' library.
+// tier sends requests through entry hosts with the client library.
 type tier struct {
 	shape   Shape
 	clients map[string]*client.Client
 	checker *testbed.Checker
-	// lost counts requests without a reply.
-	lost atomic.Int64
+	noReply atomic.Int64 // requests without a reply
 }
 
-func newTier(shape Shape, bed *testbed.Cluster, checker *testbed.Checker) (*tier, error) {
+func newTier(shape Shape, cluster *testbed.Cluster, checker *testbed.Checker) (*tier, error) {
 	t := &tier{shape: shape, clients: make(map[string]*client.Client), checker: checker}
 	for role := range shape.CallersOfRole {
 		for _, name := range shape.callersOf(role) {
-			c, err := client.New(client.Options{Seeds: bed.CallerAddresses(), Token: tokenOf(name)})
+			c, err := client.New(client.Options{Seeds: cluster.CallerAddresses(), Token: callerToken(name)})
 			if err != nil {
 				return nil, err
 			}
@@ -68,14 +68,14 @@
 		legs = t.shape.services(r.stream.Index)
 		answer, err = t.clients[r.caller].Query(ctx, r.stream.Route, client.Query{Class: r.stream.Class, Body: r.body, Detail: true})
 	}
-	o := outcome{took: time.Since(r.intended), code: t.codeOf(answer, err), legs: legs}
+	o := outcome{took: time.Since(r.intended), code: t.resultName(answer, err), legs: legs}
 	if answer != nil {
-		t.note(r, answer, &o)
+		t.checkAnswer(r, answer, &o)
 	}
 	return o
 }
 
-// book asks for a ticket and books under it.
+// book obtains a ticket and books with it.
 func (t *tier) book(ctx context.Context, r request) (*client.Answer, error) {
 	c := t.clients[r.caller]
 	ticket, err := c.Ticket(ctx, r.stream.Route)
@@ -86,8 +86,9 @@
 	return c.Book(ctx, r.stream.Route, ticket, client.Booking{Body: r.body})
 }
 
-// note checks the answer and takes its coverage.
-func (t *tier) note(r request, answer *client.Answer, o *outcome) {
+// checkAnswer passes the answer to the checker and copies its coverage to the
+// outcome.
+func (t *tier) checkAnswer(r request, answer *client.Answer, o *outcome) {
 	o.request = answer.RequestID
 	if r.stream.Booking {
 		t.checker.CheckBookingAnswer(r.body, answer)
@@ -98,14 +99,14 @@
 		o.legs = 0
 	}
 	if answer.Coverage != nil && len(answer.Shards) > 0 {
-		o.have, o.total = answer.Coverage.Have, answer.Coverage.Total
+		o.covered, o.total = answer.Coverage.Have, answer.Coverage.Total
 	}
 }
 
-func (t *tier) codeOf(answer *client.Answer, err error) string {
+func (t *tier) resultName(answer *client.Answer, err error) string {
 	name := client.ResultName(answer, err)
 	if name == client.NoReply {
-		t.lost.Add(1)
+		t.noReply.Add(1)
 	}
 	return name
 }
