--- a/bench/admission.go
+++ b/bench/admission.go
@@ -18,9 +18,9 @@
 	benchFIFOLimit = 16
 )
 
-// Admitted makes the policy run behind package admit, one controller for each
+// WithAdmission makes the policy run behind package admit, one controller for each
 // entry host.
-func Admitted(spec PolicySpec) PolicySpec {
+func WithAdmission(spec PolicySpec) PolicySpec {
 	spec.Name += ", admission"
 	spec.Admission = func(s *Sim) Admission { return newDoor(s) }
 	return spec
@@ -123,9 +123,9 @@
 	d.controllers[query.Host].Release(d.sim.Now(), q.pass, admit.Completion{Answered: answered == len(query.Legs), Legs: q.legs})
 }
 
-// FIFODoor is the usual way: each entry host runs a fixed number of queries at
+// WithFIFOAdmission is the usual way: each entry host runs a fixed number of queries at
 // once and keeps the rest in one queue, first come, first served.
-func FIFODoor(spec PolicySpec) PolicySpec {
+func WithFIFOAdmission(spec PolicySpec) PolicySpec {
 	spec.Name += ", fifo door"
 	spec.Admission = func(s *Sim) Admission {
 		return &fifoDoor{sim: s, running: make([]int, len(s.Hosts)), waiting: make([][]*Query, len(s.Hosts)), in: make(map[*Query]bool)}
--- a/bench/admission_cases.go
+++ b/bench/admission_cases.go
@@ -20,9 +20,9 @@
 // admissionPolicies are admission and the ways without it.
 func admissionPolicies() []PolicySpec {
 	return []PolicySpec{
-		Admitted(HomePolicy("home", nil)),
+		WithAdmission(HomePolicy("home", nil)),
 		HomePolicy("home", nil),
-		FIFODoor(HomePolicy("home", nil)),
+		WithFIFOAdmission(HomePolicy("home", nil)),
 		QueueBaseline("ideal, fifo", queueRules{hedge: hedgeQueued, fifo: true}),
 	}
 }
@@ -42,7 +42,7 @@
 }
 
 func admissionCase(name, story string, load float64, traffic []Traffic) Case {
-	return Case{Name: name, Story: story, Shape: BookingDesk(), Load: load, Traffic: traffic, Policies: admissionPolicies()}
+	return Case{Name: name, Description: story, Shape: BookingDesk(), Load: load, Traffic: traffic, Policies: admissionPolicies()}
 }
 
 func callerName(i int) string { return fmt.Sprintf("caller-%02d", i) }
--- a/bench/admission_measure.go
+++ b/bench/admission_measure.go
@@ -28,7 +28,7 @@
 // AdmissionMeasures runs the cases of admission with the seed and returns
 // what callers would see.
 func AdmissionMeasures(seed uint64) []Measure {
-	chosen := Admitted(HomePolicy("home", nil))
+	chosen := WithAdmission(HomePolicy("home", nil))
 	cases := admissionCases()
 	results := make([][]*Result, len(cases))
 	var unguarded *Result
--- a/bench/baseline_alone.go
+++ b/bench/baseline_alone.go
@@ -16,11 +16,11 @@
 	aloneIncrease   = 0.1 // of one request, for each answer
 )
 
-// AloneBaseline is each host by itself: power of two choices on its own
+// UncoordinatedBaseline is each host by itself: power of two choices on its own
 // requests in flight and the load it last heard, and a limit for each server
 // that grows with answers and shrinks with refusals. With static, the limit is
 // the host's even share of the slots instead, and at least one.
-func AloneBaseline(name string, static bool) PolicySpec {
+func UncoordinatedBaseline(name string, static bool) PolicySpec {
 	return PolicySpec{Name: name, New: func(s *Sim) Policy {
 		p := &alone{sim: s, static: static, calls: make(map[*Leg]*Call)}
 		for range s.Hosts {
--- a/bench/homes.go
+++ b/bench/homes.go
@@ -41,7 +41,7 @@
 		p := &homes{
 			sim:     s,
 			change:  change,
-			placed:  s.Placed(),
+			placed:  s.PlacedServices(),
 			caches:  make([]place.Cache, len(s.Hosts)),
 			nodes:   make(map[nodeKey]*homeNode),
 			where:   make(map[*Leg]*homeNode),
@@ -280,15 +280,15 @@
 	})
 }
 
-// LoseHost stops a host: its homes' legs are sent again by their entry hosts
+// FailHost stops a host: its homes' legs are sent again by their entry hosts
 // once the loss is noticed, and all views are right again after viewLag.
-func LoseHost(host int, viewLag time.Duration) func(*Sim) {
+func FailHost(host int, viewLag time.Duration) func(*Sim) {
 	return func(s *Sim) {
 		s.Hosts[host].Down = true
 		if p, ok := s.policy.(*homes); ok {
 			p.loseHost(host)
 		}
-		s.After(viewLag, s.ShareView)
+		s.After(viewLag, s.SyncViews)
 	}
 }
 
--- a/bench/shape.go
+++ b/bench/shape.go
@@ -29,13 +29,13 @@
 type ServiceTime struct {
 	Base           time.Duration
 	MeanExtra      time.Duration
-	Stragglers     float64
+	StragglerShare float64
 	StragglerExtra time.Duration
 }
 
 // Mean is the mean of the distribution.
 func (d ServiceTime) Mean() time.Duration {
-	return d.Base + d.MeanExtra + time.Duration(d.Stragglers*float64(d.StragglerExtra))
+	return d.Base + d.MeanExtra + time.Duration(d.StragglerShare*float64(d.StragglerExtra))
 }
 
 // Capacity is how many queries a second, one leg to each service, would keep
@@ -49,7 +49,7 @@
 	return ServiceTime{
 		Base:           time.Millisecond,
 		MeanExtra:      4 * time.Millisecond,
-		Stragglers:     0.02,
+		StragglerShare: 0.02,
 		StragglerExtra: 40 * time.Millisecond,
 	}
 }
--- a/bench/sim.go
+++ b/bench/sim.go
@@ -62,7 +62,7 @@
 		s.admission = spec.Admission(s)
 	}
 	for _, change := range c.Changes {
-		s.At(change.At, func() { change.Do(s) })
+		s.At(change.At, func() { change.Apply(s) })
 	}
 	s.scheduleArrivals()
 	s.drain()
@@ -80,7 +80,7 @@
 	for i := range c.Shape.EntryHosts {
 		s.Hosts = append(s.Hosts, &Host{Index: i, Zone: i % c.Shape.Zones})
 	}
-	s.ShareView()
+	s.SyncViews()
 	for i := range c.Shape.Services {
 		s.Services = append(s.Services, newService(s, i))
 	}
@@ -132,8 +132,8 @@
 	return s.Hop(s.Hosts[a].Zone, s.Hosts[b].Zone)
 }
 
-// ShareView gives every host one true view of the membership.
-func (s *Sim) ShareView() {
+// SyncViews gives every host one true view of the membership.
+func (s *Sim) SyncViews() {
 	view := s.ViewOf(func(h *Host) bool { return !h.Down })
 	for _, h := range s.Hosts {
 		h.View = view
@@ -153,8 +153,8 @@
 	return view
 }
 
-// Placed lists the services for package place.
-func (s *Sim) Placed() []place.Service {
+// PlacedServices lists the services for package place.
+func (s *Sim) PlacedServices() []place.Service {
 	placed := make([]place.Service, len(s.Services))
 	for i, service := range s.Services {
 		placed[i].Name = service.Name
