--- a/bench/compare.go
+++ b/bench/compare.go
@@ -9,16 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// Options says what Compare runs.
+// Options configure Compare.
 type Options struct {
 	Seed  uint64
 	Cases []Case // empty: Cases()
-	// Plot is a file for an SVG of the latency quantiles; empty: none.
+	// Plot is the file for a plot of the latency quantiles; empty: none.
 	Plot string
 }
 
-// Compare runs each case with each of its policies and prints a table for
-// each case.
+// Compare runs each case with each of its policies and prints one table per case.
 func Compare(w io.Writer, opts Options) error {
 	cases := opts.Cases
 	if len(cases) == 0 {
@@ -66,11 +65,11 @@
 
 func printRow(w io.Writer, r *Result, class int, g *Group) {
 	fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%.4f\t%.4f\t%.4f\t%.2f%%\t%.3f\t%s\t%d\t%d\t%d\t\n",
-		r.Policy, class, millis(g.Latency(0.5)), millis(g.Latency(0.99)), millis(g.Latency(0.999)),
-		g.Coverage(), g.FullShare(), g.Goodput(), 100*r.ExtraAttempts(), r.RefusedPerLeg(), millis(r.BusyPerLeg()),
+		r.Policy, class, formatMillis(g.Latency(0.5)), formatMillis(g.Latency(0.99)), formatMillis(g.Latency(0.999)),
+		g.Coverage(), g.FullShare(), g.Goodput(), 100*r.ExtraAttempts(), r.RefusedPerLeg(), formatMillis(r.BusyPerLeg()),
 		g.AfterDeadline, g.Refused, g.Lost)
 }
 
-func millis(d time.Duration) string {
+func formatMillis(d time.Duration) string {
 	return fmt.Sprintf("%.1fms", milliseconds(d))
 }
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,16 +1,13 @@
-// Package bench measures the decisions under load in virtual time: fake
-// backend servers, entry hosts with open-loop Poisson arrivals, and a policy
-// that decides what happens to each leg. A run is seeded and gives the same
-// figures every time; it simulates queues and network hops, not a cluster.
+// Package bench is a discrete-event simulation of admission and scheduling under
+// load: simulated backend servers, entry hosts with open-loop Poisson arrivals,
+// and a policy that routes and queues each leg. Runs take place in virtual time
+// and are deterministic for a seed.
 //
-// To add a policy: implement Policy, and list a PolicySpec with its
-// constructor in a Case or in Policies. The policy sees legs through Submit
-// and Cancel, calls backend servers with Sim.Send, and ends each leg with
-// Sim.Answer or Sim.Fail.
+// To add a policy, implement Policy and add a PolicySpec to Policies or to a Case.
+// The policy receives legs through Submit and Cancel, calls backend servers with
+// Sim.Send, and ends each leg with Sim.Answer or Sim.Fail.
 //
-// To add a case: write a function that returns a Case (shape, load, traffic,
-// scheduled changes) and register it from an init-free list such as
-// standardCases; a Case may bring an Admission, which decides at the entry
-// host before any leg is sent. Bounds for tests go to bounds.yaml, by case,
-// policy and measure.
+// To add a case, add a function that returns a Case to Cases. A case may have an
+// Admission, which decides at the entry host before any leg is sent. Bounds for
+// tests are in bounds.yaml, by case, policy and measure.
 package bench
--- a/bench/plot.go
+++ b/bench/plot.go
@@ -12,8 +12,8 @@
 	plotHeight = 5 * vg.Inch
 )
 
-// plotLatency draws each result's latency against the quantile; the file's
-// extension (svg, png) chooses the format.
+// plotLatency plots the latency quantiles of the results; the file's extension
+// (svg, png) selects the format.
 func plotLatency(file string, results []*Result) error {
 	p := plot.New()
 	p.Title.Text = "Latency of queries"
--- a/bench/sim.go
+++ b/bench/sim.go
@@ -17,8 +17,8 @@
 	Case     Case
 	Services []*Service
 	Hosts    []*Host
-	// Arrivals, Times and Choices are independent random streams, so that
-	// policies are compared on the same arrivals.
+	// Arrivals, Times and Choices are independent random streams, so that all
+	// policies get the same arrivals.
 	Arrivals, Times, Choices *rand.Rand
 
 	policy    Policy
@@ -34,21 +34,21 @@
 type Host struct {
 	Index int
 	Zone  int
-	// Down hosts answer nothing and get no callers.
+	// Down hosts answer nothing and get no queries.
 	Down bool
-	// View is the membership this host believes in; hosts share one unless a
-	// case makes views differ.
+	// View is this host's view of the membership; hosts share one unless a case
+	// makes the views differ.
 	View *member.View
 }
 
-// Service is a set of fake backend servers for one shard.
+// Service is the set of simulated backend servers of one shard.
 type Service struct {
 	Index   int
 	Name    string
 	Servers []*Server
 }
 
-// Run runs the case with the policy and returns what the callers saw.
+// Run simulates the case with the policy and returns the result.
 func Run(c Case, spec PolicySpec, seed uint64) *Result {
 	c = c.withDefaults()
 	s := newSim(c, seed)
@@ -65,7 +65,7 @@
 		s.At(change.At, func() { change.Apply(s) })
 	}
 	s.scheduleArrivals()
-	s.drain()
+	s.runEvents()
 	s.result.close()
 	return s.result
 }
@@ -87,24 +87,24 @@
 	return s
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (s *Sim) Now() time.Time { return epoch.Add(s.now) }
 
-// Elapsed is the virtual time since the start of the run.
+// Elapsed returns the virtual time since the start of the run.
 func (s *Sim) Elapsed() time.Duration { return s.now }
 
-// After calls fn once d has passed.
+// After calls fn after the virtual time d.
 func (s *Sim) After(d time.Duration, fn func()) { s.At(s.now+d, fn) }
 
-// At calls fn at the virtual time since the start; a past time means now.
+// At calls fn at a virtual time since the start, or now if that has passed.
 func (s *Sim) At(at time.Duration, fn func()) {
 	s.seq++
 	heap.Push(&s.events, event{at: max(at, s.now), seq: s.seq, fn: fn})
 }
 
-// drain runs events until none is left or the run is well past its end: a
-// policy that keeps a timer for ever must not keep the run alive.
-func (s *Sim) drain() {
+// runEvents runs events until none is left or every query has passed its deadline:
+// periodic timers must not keep the run alive.
+func (s *Sim) runEvents() {
 	end := s.Case.Length + s.Case.longestDeadline() + time.Second
 	for len(s.events) > 0 {
 		next := heap.Pop(&s.events).(event)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Hop is the one-way latency between two availability zones.
+// Hop returns the one-way latency between two availability zones.
 func (s *Sim) Hop(a, b int) time.Duration {
 	if a == b {
 		return s.Case.Shape.HopSameZone
@@ -124,7 +124,7 @@
 	return s.Case.Shape.HopOtherZone
 }
 
-// HostHop is the one-way latency between two entry hosts; none to itself.
+// HostHop returns the one-way latency between two entry hosts.
 func (s *Sim) HostHop(a, b int) time.Duration {
 	if a == b {
 		return 0
@@ -132,7 +132,7 @@
 	return s.Hop(s.Hosts[a].Zone, s.Hosts[b].Zone)
 }
 
-// SyncViews gives every host one true view of the membership.
+// SyncViews gives every host the same correct view of the membership.
 func (s *Sim) SyncViews() {
 	view := s.ViewOf(func(h *Host) bool { return !h.Down })
 	for _, h := range s.Hosts {
@@ -140,7 +140,7 @@
 	}
 }
 
-// ViewOf makes a view in which the hosts chosen by alive serve.
+// ViewOf returns a view in which the hosts that alive selects are alive.
 func (s *Sim) ViewOf(alive func(*Host) bool) *member.View {
 	view := &member.View{}
 	for _, h := range s.Hosts {
@@ -153,7 +153,7 @@
 	return view
 }
 
-// PlacedServices lists the services for package place.
+// PlacedServices returns the services as input of package place.
 func (s *Sim) PlacedServices() []place.Service {
 	placed := make([]place.Service, len(s.Services))
 	for i, service := range s.Services {
@@ -189,9 +189,9 @@
 
 // Pop is part of heap.Interface.
 func (h *eventHeap) Pop() any {
-	old := *h
-	last := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*h = old[:len(old)-1]
+	events := *h
+	last := events[len(events)-1]
+	events[len(events)-1] = event{}
+	*h = events[:len(events)-1]
 	return last
 }
