--- a/bench/capacity/capacity.go
+++ b/bench/capacity/capacity.go
@@ -1,7 +1,6 @@
-// Package capacity holds the benchmarks behind docs/CAPACITY.md: the cost of
-// one unit of each role's work (a query at its root, a leg at its home, a leg
-// between two hosts), from which that page works out the target size. The
-// slopes of membership are benchmarks and tests of package member.
+// Package capacity holds the benchmarks behind docs/CAPACITY.md: the cost of a
+// query at its entry host, of a leg at its home, and of a leg between two hosts.
+// The scaling of membership is measured in package member.
 package capacity
 
 import (
@@ -17,13 +16,13 @@
 )
 
 const (
-	// Shards of each query at the target size.
+	// Shards is the number of shards of each query.
 	Shards = 92
-	// BodyBytes of one shard's reply; an assumption, stated on the page.
+	// BodyBytes is the size of one shard's reply.
 	BodyBytes = 256
 )
 
-// Snapshot is an index of Shards shards, each held by a service of its own.
+// Snapshot returns an index of Shards shards, each held by a service of its own.
 func Snapshot() *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Index: "slots", Version: 1}
 	for i := range Shards {
@@ -35,7 +34,7 @@
 	return s
 }
 
-// Results are the good results of each leg of one query.
+// Results returns a successful result for each leg of one query.
 func Results(request ident.RequestID) []leg.Result {
 	body := make([]byte, BodyBytes)
 	results := make([]leg.Result, Shards)
@@ -54,8 +53,8 @@
 	return results
 }
 
-// RunQuery plays one query at its root from plan to answer and reports whether
-// the answer is complete.
+// RunQuery runs one query at its entry host from the plan to the answer and reports
+// whether the answer is complete.
 func RunQuery(plan scatter.Plan, results []leg.Result) bool {
 	query := scatter.NewQuery(plan)
 	for _, r := range results {
@@ -65,8 +64,8 @@
 	return answer != nil && answer.Code == result.Complete
 }
 
-// NewHome is a home of one service at the size of today: 2 backend servers
-// with 2 slots each, one class, and room for a long queue.
+// NewHome returns the home of a service of 2 backend servers with 2 slots each, one
+// class and a high queue limit.
 func NewHome(now time.Time) *home.Home {
 	h := home.New(home.Config{
 		Service:        "booking-desk-00",
