--- a/load/load.go
+++ b/load/load.go
@@ -49,7 +49,7 @@
 	// maxInFlight limits the requests in flight on one side; above it the run
 	// would measure the load generator. Further arrivals are dropped.
 	maxInFlight = 20000
-	// directQueueLimit is the servers' queueLimit limit for direct callers; their
+	// directQueueLimit is the servers' queue limit for direct callers; their
 	// shares of the connection limit keep them below it.
 	directQueueLimit = 128
 	// sampleInterval separates two reads of the hosts' generations.
