--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -80,14 +80,14 @@
 	platformReached atomic.Bool
 
 	mu  sync.Mutex
-	log *Log
+	log *ChangeLog
 
 	follower follower
 }
 
 // NewAgent returns an agent; Run starts it.
 func NewAgent(config Config) *Agent {
-	return &Agent{config: config, log: NewLog(config.Epoch)}
+	return &Agent{config: config, log: NewChangeLog(config.Epoch)}
 }
 
 // LastContact is when the platform last replied to this host or to the watcher that it
@@ -135,7 +135,7 @@
 			next[hostsPrefix+row.Name] = encoded
 		}
 	}
-	a.update(func(l *Log) bool { return l.Replace(hostsPrefix, next) })
+	a.update(func(l *ChangeLog) bool { return l.Replace(hostsPrefix, next) })
 	return true
 }
 
@@ -150,7 +150,7 @@
 }
 
 // update changes the log and passes the catalog to the sink if anything changed.
-func (a *Agent) update(apply func(*Log) bool) {
+func (a *Agent) update(apply func(*ChangeLog) bool) {
 	a.mu.Lock()
 	if !apply(a.log) {
 		a.mu.Unlock()
@@ -213,7 +213,7 @@
 		after = max(after, object.Revision)
 		next[object.Key] = object.Value
 	}
-	a.update(func(l *Log) bool { return l.Replace(SnapshotPrefix, next) })
+	a.update(func(l *ChangeLog) bool { return l.Replace(SnapshotPrefix, next) })
 	return max(after, 1), nil
 }
 
--- a/catalog/follow.go
+++ b/catalog/follow.go
@@ -72,7 +72,7 @@
 		if page.More {
 			continue
 		}
-		a.update(func(l *Log) bool { return l.Apply(all) })
+		a.update(func(l *ChangeLog) bool { return l.Apply(all) })
 		f.epoch, f.sequence = epoch, sequence
 		a.noteContact(time.Duration(reply.GetHeardAgoMs()) * time.Millisecond)
 		return nil
--- a/catalog/log.go
+++ b/catalog/log.go
@@ -9,9 +9,9 @@
 // all items.
 const maxRemovals = 4096
 
-// Log holds the items of the catalog and the order of their changes, so that a follower
+// ChangeLog holds the items of the catalog and the order of their changes, so that a follower
 // gets only the changes that it is missing. It is not safe for concurrent use.
-type Log struct {
+type ChangeLog struct {
 	epoch       uint64
 	sequence    uint64
 	items       map[string]entry
@@ -24,16 +24,16 @@
 	sequence uint64
 }
 
-// NewLog returns an empty log. The epoch, the host's incarnation, identifies the log.
-func NewLog(epoch uint64) *Log {
-	return &Log{epoch: epoch, items: make(map[string]entry), removals: make(map[string]uint64)}
+// NewChangeLog returns an empty log. The epoch, the host's incarnation, identifies the log.
+func NewChangeLog(epoch uint64) *ChangeLog {
+	return &ChangeLog{epoch: epoch, items: make(map[string]entry), removals: make(map[string]uint64)}
 }
 
 // Sequence is the number of the last change; 0: none yet.
-func (l *Log) Sequence() uint64 { return l.sequence }
+func (l *ChangeLog) Sequence() uint64 { return l.sequence }
 
 // Replace sets the items below a prefix to next and reports whether anything changed.
-func (l *Log) Replace(prefix string, next map[string][]byte) bool {
+func (l *ChangeLog) Replace(prefix string, next map[string][]byte) bool {
 	before := l.sequence
 	for key := range l.items {
 		if _, kept := next[key]; !kept && hasPrefix(key, prefix) {
@@ -47,7 +47,7 @@
 }
 
 // Apply applies a watcher's changes and reports whether anything changed.
-func (l *Log) Apply(changes Changes) bool {
+func (l *ChangeLog) Apply(changes Changes) bool {
 	if changes.Complete {
 		next := make(map[string][]byte, len(changes.Items))
 		for _, item := range changes.Items {
@@ -70,7 +70,7 @@
 	return l.sequence != before
 }
 
-func (l *Log) put(key string, value []byte) {
+func (l *ChangeLog) put(key string, value []byte) {
 	if old, ok := l.items[key]; ok && bytes.Equal(old.value, value) {
 		return
 	}
@@ -79,7 +79,7 @@
 	delete(l.removals, key)
 }
 
-func (l *Log) remove(key string) {
+func (l *ChangeLog) remove(key string) {
 	if _, ok := l.items[key]; !ok {
 		return
 	}
@@ -109,7 +109,7 @@
 
 // ChangesSince returns a page of about maxBytes of the changes after a sequence of this log's
 // epoch, in order. A follower with another epoch, or one too far behind, gets all items.
-func (l *Log) ChangesSince(epoch, sequence uint64, maxBytes int) Changes {
+func (l *ChangeLog) ChangesSince(epoch, sequence uint64, maxBytes int) Changes {
 	changes := Changes{Epoch: l.epoch, Sequence: l.sequence}
 	changes.Complete = epoch != l.epoch || sequence > l.sequence || sequence < l.discardedTo || sequence == 0
 	if changes.Complete {
@@ -137,7 +137,7 @@
 	sequence uint64
 }
 
-func (l *Log) changedAfter(sequence uint64, complete bool) []sequencedItem {
+func (l *ChangeLog) changedAfter(sequence uint64, complete bool) []sequencedItem {
 	var changed []sequencedItem
 	for key, item := range l.items {
 		if item.sequence > sequence {
@@ -154,7 +154,7 @@
 }
 
 // Values returns the values below a prefix, sorted by key.
-func (l *Log) Values(prefix string) [][]byte {
+func (l *ChangeLog) Values(prefix string) [][]byte {
 	var keys []string
 	for key := range l.items {
 		if hasPrefix(key, prefix) {
