--- a/member/agent.go
+++ b/member/agent.go
@@ -25,9 +25,9 @@
 	// the fleet.
 	minLoadViewInterval     = 250 * time.Millisecond
 	loadViewIntervalPerHost = 300 * time.Microsecond
-	// The interval between any two views, and its growth with the fleet: each view
-	// makes readers recompute the placement of homes, while states may change all
-	// the time, as when an availability zone is lost.
+	// The interval between any two views, and its growth with the fleet: after each
+	// view, readers recompute which host is the home of which service, while states may
+	// change all the time, as when an availability zone is lost.
 	minViewInterval     = 50 * time.Millisecond
 	viewIntervalPerHost = 100 * time.Microsecond
 	// maxRelayedProbes bounds the concurrent probes on behalf of peers.
--- a/member/calls.go
+++ b/member/calls.go
@@ -116,7 +116,7 @@
 	default:
 		return nil, errors.New("member: too many probes for others")
 	}
-	outward, err := handle(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeRequest {
+	relayed, err := handle(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeRequest {
 		return m.RelayProbe(now, q)
 	})
 	if err != nil {
@@ -126,7 +126,7 @@
 	probeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	client := memberpb.NewDRPCMemberClient(a.config.Pool.Conn(probeCtx, request.TargetAddress))
-	reply, probeErr := client.Probe(probeCtx, outward)
+	reply, probeErr := client.Probe(probeCtx, relayed)
 	return handle(ctx, a, request, func(now time.Time, m *Membership, q *memberpb.ProbeForRequest) *memberpb.ProbeForReply {
 		return m.RelayDone(now, q, replyOrNil(probeErr, reply))
 	})
--- a/member/config.go
+++ b/member/config.go
@@ -26,8 +26,8 @@
 	// neighborCount bounds the hosts that one host probes, and with them its
 	// connections. The chance that a host is no other's neighbor is e^-16.
 	neighborCount = 16
-	// maxCrossZoneNeighbors bounds the neighbors in other zones of the region, unless the own
-	// zone has too few hosts: traffic between zones is billed.
+	// maxCrossZoneNeighbors bounds the neighbors in other zones of the region, unless this
+	// host's zone has too few hosts: traffic between zones is billed.
 	maxCrossZoneNeighbors = 4
 	// crossZoneLinks is the number of cross-zone neighbors that the hosts of a zone have
 	// together, so that each other zone is probed several times a second.
--- a/member/membership.go
+++ b/member/membership.go
@@ -42,15 +42,15 @@
 	lastPeerContact   time.Time
 
 	broadcasts         *broadcastQueue
-	refreshIndex       int       // index of the next record to repeat for anti-entropy
-	deadIndex          int       // index of the next dead record to send for correction
-	corrections        []*record // newer than what the current request said
-	urgent             []*broadcast
-	urgentConfig       bool
-	pushAt             time.Time // zero: nothing urgent
-	sendAddressesUntil time.Time // each message carries the own addresses until then
+	refreshIndex       int          // index of the next record to repeat for anti-entropy
+	deadIndex          int          // index of the next dead record to send for correction
+	corrections        []*record    // newer than what the current request said
+	urgent             []*broadcast // for the next push
+	urgentConfig       bool         // the next push carries announced
+	pushAt             time.Time    // zero: nothing urgent
+	sendAddressesUntil time.Time    // each message carries this host's addresses until then
 	recentLoads        []*record
-	announced          *memberpb.ConfigNews
+	announced          *memberpb.ConfigNews // by this host, of itself
 	seenBackends       *dedupCache[updateKey, *memberpb.BackendNews]
 	seenRequests       *dedupCache[updateKey, *memberpb.SuspectRequestNews]
 	received           ReceivedUpdates
--- a/member/neighbors.go
+++ b/member/neighbors.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// fillNeighbors draws missing neighbors, mostly in the own zone since cross-zone
-// traffic is billed; other zones of the region fill what the own zone can't. In a
-// fleet no larger than the neighbor count all hosts become neighbors.
+// fillNeighbors draws missing neighbors, mostly in this host's zone since cross-zone
+// traffic is billed; if that has too few hosts, the rest come from other zones of the
+// region. In a fleet no larger than the neighbor count all hosts become neighbors.
 func (m *Membership) fillNeighbors() {
 	var have [distanceCount]int
 	for _, r := range m.neighbors {
--- a/member/record.go
+++ b/member/record.go
@@ -112,6 +112,7 @@
 	return r.stateUpdate()
 }
 
+// loadUpdate is the host's load. Life is the low 32 bits of its incarnation.
 func (r *record) loadUpdate() *memberpb.LoadNews {
 	return &memberpb.LoadNews{
 		Host:         string(r.ID),
--- a/member/view.go
+++ b/member/view.go
@@ -62,8 +62,8 @@
 	Hosts []Host
 	// LastPeerContact is when a peer last answered; zero: never.
 	LastPeerContact time.Time
-	// Minority reports that half of the own region's hosts or more are dead without
-	// confirmation by the platform's host list; see CutOff.
+	// Minority reports that half of the hosts in this host's region or more are dead
+	// without confirmation by the platform's host list; see CutOff.
 	Minority bool
 	// Replaced reports that another process runs under this host's ID.
 	Replaced bool
