--- a/rollout/activation.go
+++ b/rollout/activation.go
@@ -1,5 +1,5 @@
 // Package rollout distributes and applies accepted configurations. Operators'
-// commands move the head object in the platform's store; an Agent on each host
+// commands replace the head object in the platform's store; an Agent on each host
 // learns of the new head from the store or from peers, pulls the configuration
 // and applies it. The decisions (ActiveConfig, StartupGate, submission) do no
 // I/O, so that the model checker in the tests runs the production code.
