--- a/discover/intervals.go
+++ b/discover/intervals.go
@@ -11,33 +11,34 @@
 	// soon watches again and tells the others.
 	minWatchTimeout = 2 * time.Second
 	maxWatchTimeout = 4 * time.Second
-	// The numbers of watching hosts above which the watch timeout and the batch delay grow
-	// in proportion: each watch that ends, and each change, costs one call for each
-	// watching host, while only the first of them to learn of a change matters.
-	watchersPerTimeout = 4
-	watchersPerBatch   = 3
-	// maxWatchStretch keeps a host that has lost all others from being cut off during a
+	// With more watching hosts than these, the watch timeout and the batch delay grow in
+	// proportion: each watch that ends, and each change, costs one call for each watching
+	// host, while only the first of them to learn of a change matters.
+	maxWatchersForBaseTimeout = 4
+	maxWatchersForBaseDelay   = 3
+	// maxWatchTimeoutFactor keeps a host that has lost all others from being cut off during a
 	// watch.
-	maxWatchStretch = 2
-	// maxBatchStretch lets a host that has lost all others learn of a leaving server
+	maxWatchTimeoutFactor = 2
+	// maxBatchDelayFactor lets a host that has lost all others learn of a leaving server
 	// within a second.
-	maxBatchStretch = 4
+	maxBatchDelayFactor = 4
 )
 
-// stretch is the factor by which each watching host waits longer.
-func stretch(watchers, threshold, limit int) float64 {
+// intervalFactor is the factor by which each watching host waits longer: watchers divided
+// by threshold, but at least 1 and at most limit.
+func intervalFactor(watchers, threshold, limit int) float64 {
 	return min(max(float64(watchers)/float64(threshold), 1), float64(limit))
 }
 
 // watchTimeout returns a random timeout for the next watch.
 func watchTimeout(watchers int) time.Duration {
 	timeout := minWatchTimeout + rand.N(maxWatchTimeout-minWatchTimeout)
-	return time.Duration(stretch(watchers, watchersPerTimeout, maxWatchStretch) * float64(timeout))
+	return time.Duration(intervalFactor(watchers, maxWatchersForBaseTimeout, maxWatchTimeoutFactor) * float64(timeout))
 }
 
 // batchDelay returns a random delay before the next watch, given the delay of a single
 // watcher. Its jitter keeps the watchers from all pausing at the same time.
 func batchDelay(interval time.Duration, watchers int) time.Duration {
-	maxDelay := time.Duration(stretch(watchers, watchersPerBatch, maxBatchStretch) * float64(interval))
+	maxDelay := time.Duration(intervalFactor(watchers, maxWatchersForBaseDelay, maxBatchDelayFactor) * float64(interval))
 	return maxDelay/2 + rand.N(maxDelay/2+1)
 }
