--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -32,7 +32,7 @@
 	// pollInterval is the interval at which a watcher reads the host list.
 	pollInterval = 500 * time.Millisecond
 	// followInterval is the interval at which other hosts ask a watcher. With
-	// pollInterval it keeps the delay of a leaving server well under 3 s.
+	// pollInterval it lets all hosts learn of a leaving server well within 3 s.
 	followInterval = time.Second
 	// callTimeout bounds a call to the platform.
 	callTimeout = 2 * time.Second
@@ -79,15 +79,15 @@
 	lastContact     atomic.Int64 // Unix nanoseconds of the platform's last reply; 0: never
 	platformReached atomic.Bool
 
-	mu  sync.Mutex
-	log *ChangeLog
+	mu        sync.Mutex
+	changeLog *ChangeLog
 
 	follower follower
 }
 
 // NewAgent returns an agent; Run starts it.
 func NewAgent(config Config) *Agent {
-	return &Agent{config: config, log: NewChangeLog(config.Epoch)}
+	return &Agent{config: config, changeLog: NewChangeLog(config.Epoch)}
 }
 
 // LastContact is when the platform last replied to this host or to the watcher that it
@@ -152,11 +152,11 @@
 // update changes the log and passes the catalog to the sink if anything changed.
 func (a *Agent) update(apply func(*ChangeLog) bool) {
 	a.mu.Lock()
-	if !apply(a.log) {
+	if !apply(a.changeLog) {
 		a.mu.Unlock()
 		return
 	}
-	hosts, snapshots := a.log.Values(hostsPrefix), a.log.Values(SnapshotPrefix)
+	hosts, snapshots := a.changeLog.Values(hostsPrefix), a.changeLog.Values(SnapshotPrefix)
 	a.mu.Unlock()
 	a.config.Sink.Snapshots(decode[*snapshot.Snapshot](snapshots))
 	a.config.Sink.Servers(decode[metastore.ListedHost](hosts))
--- a/catalog/follow.go
+++ b/catalog/follow.go
@@ -119,7 +119,7 @@
 func (s server) Changes(_ context.Context, request *catalogpb.ChangesRequest) (*catalogpb.ChangesReply, error) {
 	a := s.agent
 	a.mu.Lock()
-	changes := a.log.ChangesSince(request.GetEpoch(), request.GetSequence(), pageBytes)
+	changes := a.changeLog.ChangesSince(request.GetEpoch(), request.GetSequence(), pageBytes)
 	a.mu.Unlock()
 	reply := &catalogpb.ChangesReply{Epoch: changes.Epoch, Sequence: changes.Sequence, Whole: changes.Complete, More: changes.More, HeardAgoMs: neverReached}
 	if lastContact := a.LastContact(); !lastContact.IsZero() {
--- a/catalog/log.go
+++ b/catalog/log.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// maxRemovals bounds the removals that a Log keeps. A follower that is further behind gets
+// maxRemovals bounds the removals that a ChangeLog keeps. A follower that is further behind gets
 // all items.
 const maxRemovals = 4096
 
