--- a/metastore/client.go
+++ b/metastore/client.go
@@ -29,12 +29,12 @@
 	defaultReadsPerSecond  = 200
 	defaultWritesPerSecond = 20
 	defaultWatchWait       = 2 * time.Second
-	// The first attempt of a read gets Timeout/firstAttemptShare.
-	firstAttemptShare = 4
-	firstBackoff      = 20 * time.Millisecond
-	maxBackoff        = time.Second
-	maxReplyBytes     = 64 << 20
-	maxDiscardBytes   = 4 << 10
+	// The first attempt of a read gets Timeout/firstAttemptDivisor.
+	firstAttemptDivisor = 4
+	firstBackoff        = 20 * time.Millisecond
+	maxBackoff          = time.Second
+	maxReplyBytes       = 64 << 20
+	maxDiscardBytes     = 4 << 10
 )
 
 // ClientOptions configure a Client; zero values take the defaults.
@@ -187,7 +187,7 @@
 // The first attempt gets only a part of Timeout, which leaves time for another one on a
 // new connection if the first one is dead.
 func (c *Client) readWithWait(ctx context.Context, wait time.Duration, op operation) error {
-	timeout := c.options.Timeout / firstAttemptShare
+	timeout := c.options.Timeout / firstAttemptDivisor
 	return c.retry(ctx, wait+c.options.Timeout, c.reads, func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, wait+timeout)
 		defer cancel()
