--- a/draining/draining.go
+++ b/draining/draining.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// recordLeft marks the incarnation as left. It becomes current only if none is known, so that late
-// news of an old incarnation does not take out the new one.
+// recordLeft marks the incarnation as left. It becomes current only if none is known, so that a
+// late report of an old incarnation does not exclude the new one.
 func (t *Table) recordLeft(now time.Time, s *server, incarnation uint64) bool {
 	if s.hasLeft(incarnation) {
 		return false
--- a/draining/draining_test.go
+++ b/draining/draining_test.go
@@ -33,7 +33,7 @@
 	is.True(!table.AllowedInstance(Instance{"s", 1}))
 }
 
-// Guards against late news of an old incarnation that takes out the new one.
+// Guards against a late report of an old incarnation that excludes the new one.
 func TestLateNewsOfAnOldIncarnationKeepsTheNewOne(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
@@ -42,7 +42,7 @@
 	is.True(table.Allowed("s"))
 }
 
-// Guards against an empty or incomplete host list that takes servers out.
+// Guards against an empty or incomplete host list that excludes servers.
 func TestEmptyHostListTakesNoServerOut(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
