--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,6 +1,7 @@
 // Package drain implements the phases of an entry host's planned stop. The host leaves the advice
-// at once, keeps serving while callers may hold older advice, then refuses new work as "not run",
-// finishes what is in flight, and stops in bounded time. Its clock is passed in.
+// (the entry hosts that callers are told to use) at once, keeps serving while callers may hold
+// older advice, then refuses new work as "not run", finishes what is in flight, and stops in
+// bounded time. The time is passed in.
 package drain
 
 import "time"
@@ -12,8 +13,8 @@
 const (
 	// PhaseServing: no stop was requested.
 	PhaseServing Phase = iota
-	// PhaseLeaving: removed from the advice and from the homes, but still serving callers with
-	// older advice.
+	// PhaseLeaving: no longer advised and no longer the home of a service, but still serving
+	// callers with older advice.
 	PhaseLeaving
 	// PhaseRefusing: new work is refused as "not run", with other hosts named.
 	PhaseRefusing
@@ -33,22 +34,22 @@
 // Stop is the state of one planned stop.
 type Stop struct {
 	adviceExpiry time.Time // when no caller holds older advice any more
-	limit        time.Time
+	deadline     time.Time
 }
 
-// Begin starts a planned stop. adviceTTL is how long callers may cache advice; limit bounds the
-// whole stop and must be well above adviceTTL.
-func Begin(now time.Time, adviceTTL, limit time.Duration) *Stop {
-	return &Stop{adviceExpiry: now.Add(adviceTTL + adviceGrace), limit: now.Add(limit)}
+// Begin starts a planned stop. adviceTTL is how long callers may cache advice; timeout bounds
+// the whole stop and must be well above adviceTTL.
+func Begin(now time.Time, adviceTTL, timeout time.Duration) *Stop {
+	return &Stop{adviceExpiry: now.Add(adviceTTL + adviceGrace), deadline: now.Add(timeout)}
 }
 
-// Phase returns the phase at now with inFlight requests and legs in flight. Nothing is refused
-// before older advice has expired, and the listener stays open until nothing is in flight: callers
-// that were just advised to use this host would otherwise see refused connections, and their
-// half-sent bookings would become unknown.
+// Phase returns the phase at now with inFlight requests and legs; a leg is one shard's part of a
+// request. Nothing is refused before older advice has expired, and the listener stays open until
+// nothing is in flight: callers that were just advised to use this host would otherwise see refused
+// connections, and their half-sent bookings would become unknown.
 func (s *Stop) Phase(now time.Time, inFlight int) Phase {
 	switch {
-	case !now.Before(s.limit):
+	case !now.Before(s.deadline):
 		return PhaseDone
 	case now.Before(s.adviceExpiry):
 		return PhaseLeaving
@@ -60,4 +61,4 @@
 }
 
 // Remaining returns the time until the stop times out.
-func (s *Stop) Remaining(now time.Time) time.Duration { return max(s.limit.Sub(now), 0) }
+func (s *Stop) Remaining(now time.Time) time.Duration { return max(s.deadline.Sub(now), 0) }
