--- a/forward/forward.go
+++ b/forward/forward.go
@@ -28,7 +28,7 @@
 
 // Merge describes how the answers of several services are merged.
 type Merge struct {
-	TopK     int // records in the merged answer
+	TopK     int // records in the merged answer, the greatest in byte order
 	Services int
 }
 
