--- a/peer/peer.go
+++ b/peer/peer.go
@@ -93,9 +93,8 @@
 	return newConn(tlsConn), nil
 }
 
-// newConn returns a connection that is closed when a call on it is cancelled or times out. drpc's
-// soft cancel would return a connection on which nothing comes back to the pool, and a live peer
-// would look dead.
+// newConn returns a connection that is closed when a call on it is cancelled or times out. With
+// drpc's soft cancel a lost connection would go back to the pool, and a live peer would look dead.
 func newConn(transport net.Conn) *drpcconn.Conn { return drpcconn.New(transport) }
 
 // Server serves the registered services to peers.
