--- a/snapshot/pins.go
+++ b/snapshot/pins.go
@@ -52,7 +52,7 @@
 	return view.pins[index]
 }
 
-// RecordHeld records which versions a backend server of the service reports to hold.
+// RecordHeld records which versions a backend server of the service reports that it holds.
 func (p *Pins) RecordHeld(service, index string, held []Version) {
 	if !p.needsUpdate(service, index, held) {
 		return
