--- a/route/route.go
+++ b/route/route.go
@@ -47,7 +47,7 @@
 	Idempotent bool
 	// Timeout is the longest time until a request is answered.
 	Timeout time.Duration
-	// TargetLatency is the latency within which an answer has its full value.
+	// TargetLatency is the latency up to which an answer is fully useful to its caller.
 	TargetLatency time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
