--- a/components_traffic.go
+++ b/components_traffic.go
@@ -53,7 +53,7 @@
 	empty, err := bundle.Compile(0, bundle.Documents{})
 	return &crashDetector{
 		servers:  servers,
-		registry: quarantine.NewRegistry(empty),
+		quarantine: quarantine.NewRegistry(empty),
 		tracker:  quarantine.NewTracker(),
 		members:  members,
 		log:      log,
@@ -81,7 +81,7 @@
 		now:        now,
 		events:     make(chan func(), eventBuffer),
 		drainTable: draining.NewTable(),
-		list:       catalog.NewServerList(),
+		serverList:       catalog.NewServerList(),
 	}
 }
 
--- a/crash_detector.go
+++ b/crash_detector.go
@@ -22,7 +22,7 @@
 // It implements homeserver.AttemptObserver.
 type crashDetector struct {
 	servers  *serverRegistry
-	registry *quarantine.Registry
+	quarantine *quarantine.Registry
 	tracker  *quarantine.Tracker
 	members  *member.Agent
 	log      *zap.Logger
@@ -31,7 +31,7 @@
 
 // CheckLeg implements homeserver.AttemptObserver.
 func (c *crashDetector) CheckLeg(request leg.Request) *result.Error {
-	return c.registry.CheckLeg(c.now(), quarantine.Fingerprint(request.Fingerprint), request.Service, c.tracker)
+	return c.quarantine.CheckLeg(c.now(), quarantine.Fingerprint(request.Fingerprint), request.Service, c.tracker)
 }
 
 // Started implements homeserver.AttemptObserver.
@@ -54,10 +54,10 @@
 		c.handleEvent(c.tracker.ConnectRefused(c.now(), server.Name))
 	}
 	if call.Usable() {
-		c.announceVerdict(c.registry.RecordSuccess(c.now(), f, server.Service))
+		c.announceVerdict(c.quarantine.RecordSuccess(c.now(), f, server.Service))
 		return false
 	}
-	return c.registry.IsSuspected(c.now(), f, server.Service)
+	return c.quarantine.IsSuspected(c.now(), f, server.Service)
 }
 
 // acceptsConnections reports whether a dial of the address succeeds.
@@ -74,10 +74,10 @@
 	switch {
 	case event.Crashed != nil:
 		c.log.Info("backend server crashed", zap.String("server", event.Crashed.Name), zap.Int("requests_in_flight", len(event.Crashed.Suspects)))
-		c.announceVerdict(c.registry.RecordCrash(c.now(), *event.Crashed))
+		c.announceVerdict(c.quarantine.RecordCrash(c.now(), *event.Crashed))
 	case event.Recovered != nil:
 		c.log.Info("backend server presumed crashed has answered", zap.String("server", event.Recovered.Name))
-		c.registry.RetractCrash(*event.Recovered)
+		c.quarantine.RetractCrash(*event.Recovered)
 	}
 }
 
@@ -87,7 +87,7 @@
 		return
 	}
 	c.log.Warn("request is quarantined", zap.Stringer("fingerprint", f))
-	for _, evidence := range c.registry.ActiveEvidence(c.now()) {
+	for _, evidence := range c.quarantine.ActiveEvidence(c.now()) {
 		if evidence.Fingerprint != f {
 			continue
 		}
@@ -102,7 +102,7 @@
 
 // merge merges evidence announced by another host.
 func (c *crashDetector) merge(update member.SuspectRequestUpdate) {
-	added := c.registry.Merge(c.now(), []quarantine.Evidence{{
+	added := c.quarantine.Merge(c.now(), []quarantine.Evidence{{
 		Fingerprint: quarantine.Fingerprint(update.Fingerprint),
 		Server:      update.Server,
 		Incarnation: update.ServerIncarnation,
@@ -118,7 +118,7 @@
 func (c *crashDetector) recordAnswer(started time.Time, f quarantine.Fingerprint, answer *scatter.Answer) {
 	now := c.now()
 	if lost := lostServices(answer); lost != nil {
-		c.registry.RecordLostQuery(now, f, lost)
+		c.quarantine.RecordLostQuery(now, f, lost)
 		return
 	}
 	missing := make(map[string]bool, len(answer.Missing))
@@ -127,7 +127,7 @@
 	}
 	for _, l := range answer.Legs {
 		if !missing[l.Service] {
-			c.announceVerdict(c.registry.RecordLegSuccess(now, started, f, l.Service))
+			c.announceVerdict(c.quarantine.RecordLegSuccess(now, started, f, l.Service))
 		}
 	}
 }
--- a/server_registry.go
+++ b/server_registry.go
@@ -32,8 +32,8 @@
 	now          func() time.Time
 
 	events     chan func()
-	list       *catalog.ServerList
-	listed     []metastore.ListedHost // active
+	serverList       *catalog.ServerList
+	servers     []metastore.ListedHost // active
 	drainTable *draining.Table
 }
 
@@ -52,7 +52,7 @@
 // Servers implements catalog.Sink.
 func (s *serverRegistry) Servers(listed []metastore.ListedHost) {
 	s.events <- func() {
-		s.listed = s.list.Update(s.now(), listed)
+		s.servers = s.serverList.Update(s.now(), listed)
 		for _, instance := range s.drainTable.ApplyHostList(s.now(), listed) {
 			s.announceDraining(instance, "host list")
 		}
@@ -117,9 +117,9 @@
 
 // publish passes the servers to the homes and to the placement of homes.
 func (s *serverRegistry) publish() {
-	all := make([]backend.Server, 0, len(s.listed))
+	all := make([]backend.Server, 0, len(s.servers))
 	known := make(map[string][]homeserver.KnownServer)
-	for _, row := range s.listed {
+	for _, row := range s.servers {
 		server := backend.Server{
 			Name:        row.Name,
 			Address:     row.Address,
--- a/status.go
+++ b/status.go
@@ -53,7 +53,7 @@
 		Alarm:       h.components.Rollout.Alarm(),
 		InFlight:    h.workInFlight(),
 	}
-	s.Quarantine = h.components.CrashDetector.registry.Entries(h.components.Now())
+	s.Quarantine = h.components.CrashDetector.quarantine.Entries(h.components.Now())
 	if ref := h.components.Rollout.ActiveRef(); !ref.IsZero() {
 		s.Generation = ref.Generation
 		s.Manifest = ref.Hash.Short()
@@ -90,7 +90,7 @@
 func (h *Host) registerHostMetrics() error {
 	return observe.RegisterGauges(h.components.Registry, observe.GaugeSources{
 		Admission:  h.components.Admission.Stats,
-		Quarantine: func() int { return len(h.components.CrashDetector.registry.Entries(h.components.Now())) },
+		Quarantine: func() int { return len(h.components.CrashDetector.quarantine.Entries(h.components.Now())) },
 		Phase:      h.stopPhase,
 		Ready:      func() bool { return h.Ready() == nil && h.stop.Load() == nil },
 
