--- a/components_traffic.go
+++ b/components_traffic.go
@@ -52,12 +52,12 @@
 func newCrashDetector(servers *serverRegistry, members *member.Agent, log *zap.Logger, now clock) (*crashDetector, error) {
 	empty, err := bundle.Compile(0, bundle.Documents{})
 	return &crashDetector{
-		servers:  servers,
-		quarantine: quarantine.NewRegistry(empty),
-		tracker:  quarantine.NewTracker(),
-		members:  members,
-		log:      log,
-		now:      now,
+		servers:            servers,
+		quarantineRegistry: quarantine.NewRegistry(empty),
+		tracker:            quarantine.NewTracker(),
+		members:            members,
+		log:                log,
+		now:                now,
 	}, err
 }
 
@@ -81,7 +81,7 @@
 		now:        now,
 		events:     make(chan func(), eventBuffer),
 		drainTable: draining.NewTable(),
-		serverList:       catalog.NewServerList(),
+		serverList: catalog.NewServerList(),
 	}
 }
 
@@ -122,7 +122,7 @@
 }
 
 // meanBodyBytes times the concurrency limit bounds the bodies of all requests in
-// flight, in bytes.
+// flight, in bytes. The setting limits.max_bytes_in_flight is not used here.
 const meanBodyBytes = 4 << 10
 
 func newCoordinator(resolver *homeResolver, metrics *observe.Metrics, now clock, pins *snapshot.Pins) *scatter.Coordinator {
--- a/crash_detector.go
+++ b/crash_detector.go
@@ -21,17 +21,17 @@
 // crashDetector observes attempts to find the requests that crash backend servers.
 // It implements homeserver.AttemptObserver.
 type crashDetector struct {
-	servers  *serverRegistry
-	quarantine *quarantine.Registry
-	tracker  *quarantine.Tracker
-	members  *member.Agent
-	log      *zap.Logger
-	now      func() time.Time
+	servers            *serverRegistry
+	quarantineRegistry *quarantine.Registry
+	tracker            *quarantine.Tracker
+	members            *member.Agent
+	log                *zap.Logger
+	now                func() time.Time
 }
 
 // CheckLeg implements homeserver.AttemptObserver.
 func (c *crashDetector) CheckLeg(request leg.Request) *result.Error {
-	return c.quarantine.CheckLeg(c.now(), quarantine.Fingerprint(request.Fingerprint), request.Service, c.tracker)
+	return c.quarantineRegistry.CheckLeg(c.now(), quarantine.Fingerprint(request.Fingerprint), request.Service, c.tracker)
 }
 
 // Started implements homeserver.AttemptObserver.
@@ -54,10 +54,10 @@
 		c.handleEvent(c.tracker.ConnectRefused(c.now(), server.Name))
 	}
 	if call.Usable() {
-		c.announceVerdict(c.quarantine.RecordSuccess(c.now(), f, server.Service))
+		c.announceVerdict(c.quarantineRegistry.RecordSuccess(c.now(), f, server.Service))
 		return false
 	}
-	return c.quarantine.IsSuspected(c.now(), f, server.Service)
+	return c.quarantineRegistry.IsSuspected(c.now(), f, server.Service)
 }
 
 // acceptsConnections reports whether a dial of the address succeeds.
@@ -74,10 +74,10 @@
 	switch {
 	case event.Crashed != nil:
 		c.log.Info("backend server crashed", zap.String("server", event.Crashed.Name), zap.Int("requests_in_flight", len(event.Crashed.Suspects)))
-		c.announceVerdict(c.quarantine.RecordCrash(c.now(), *event.Crashed))
+		c.announceVerdict(c.quarantineRegistry.RecordCrash(c.now(), *event.Crashed))
 	case event.Recovered != nil:
 		c.log.Info("backend server presumed crashed has answered", zap.String("server", event.Recovered.Name))
-		c.quarantine.RetractCrash(*event.Recovered)
+		c.quarantineRegistry.RetractCrash(*event.Recovered)
 	}
 }
 
@@ -87,7 +87,7 @@
 		return
 	}
 	c.log.Warn("request is quarantined", zap.Stringer("fingerprint", f))
-	for _, evidence := range c.quarantine.ActiveEvidence(c.now()) {
+	for _, evidence := range c.quarantineRegistry.ActiveEvidence(c.now()) {
 		if evidence.Fingerprint != f {
 			continue
 		}
@@ -102,7 +102,7 @@
 
 // merge merges evidence announced by another host.
 func (c *crashDetector) merge(update member.SuspectRequestUpdate) {
-	added := c.quarantine.Merge(c.now(), []quarantine.Evidence{{
+	added := c.quarantineRegistry.Merge(c.now(), []quarantine.Evidence{{
 		Fingerprint: quarantine.Fingerprint(update.Fingerprint),
 		Server:      update.Server,
 		Incarnation: update.ServerIncarnation,
@@ -113,12 +113,13 @@
 	}
 }
 
-// recordAnswer records the result of a query at its entry host: a query that
-// lost every leg together with the server is evidence against the request.
+// recordAnswer records the result of a query at its entry host. If all its legs
+// ended with an unknown outcome, that is evidence that the request crashes servers;
+// an answered leg is evidence that it doesn't.
 func (c *crashDetector) recordAnswer(started time.Time, f quarantine.Fingerprint, answer *scatter.Answer) {
 	now := c.now()
 	if lost := lostServices(answer); lost != nil {
-		c.quarantine.RecordLostQuery(now, f, lost)
+		c.quarantineRegistry.RecordLostQuery(now, f, lost)
 		return
 	}
 	missing := make(map[string]bool, len(answer.Missing))
@@ -127,7 +128,7 @@
 	}
 	for _, l := range answer.Legs {
 		if !missing[l.Service] {
-			c.announceVerdict(c.quarantine.RecordLegSuccess(now, started, f, l.Service))
+			c.announceVerdict(c.quarantineRegistry.RecordLegSuccess(now, started, f, l.Service))
 		}
 	}
 }
--- a/front_service.go
+++ b/front_service.go
@@ -19,7 +19,7 @@
 
 // Query implements front.Service.
 func (h *Host) Query(ctx context.Context, q front.Query) (*scatter.Answer, *result.Error) {
-	if refusal := h.components.CrashDetector.quarantine.Check(h.components.Now(), fingerprint(q)); refusal != nil {
+	if refusal := h.components.CrashDetector.quarantineRegistry.Check(h.components.Now(), fingerprint(q)); refusal != nil {
 		return nil, refusal
 	}
 	spec, refusal := h.plan(q)
@@ -106,7 +106,7 @@
 	if refusal != nil {
 		return booking.Result{Code: refusal.Code, Detail: refusal.Detail}
 	}
-	if refusal := h.components.CrashDetector.quarantine.Check(h.components.Now(), fingerprint(q)); refusal != nil {
+	if refusal := h.components.CrashDetector.quarantineRegistry.Check(h.components.Now(), fingerprint(q)); refusal != nil {
 		return booking.Result{Code: refusal.Code, Detail: refusal.Detail}
 	}
 	spec, refusal := h.plan(q)
--- a/home_resolver.go
+++ b/home_resolver.go
@@ -11,7 +11,8 @@
 	"github.com/goldcrestspan/goldcrestspan/place"
 )
 
-// homeResolver finds the home of each service, on this host or at a peer over the
+// homeResolver finds the home of each service, which is the entry host that
+// schedules the service's legs: this host, or a peer that it calls over the
 // exchange. It implements scatter.Homes.
 type homeResolver struct {
 	view     func() *member.View
@@ -28,7 +29,7 @@
 }
 
 // Lookup implements scatter.Homes.
-func (h *homeResolver) Lookup(service string) (first, second ident.HostID) {
+func (h *homeResolver) Lookup(service string) (home, fallback ident.HostID) {
 	return h.cache.Homes(h.view(), *h.services.Load()).Lookup(service)
 }
 
--- a/host.go
+++ b/host.go
@@ -195,6 +195,8 @@
 	if h.Config() == nil {
 		return &result.Error{Code: result.NotReady, Hosts: h.otherHosts()}
 	}
+	// The count of 1 stands for this request. New work is refused in the phases
+	// refusing and done alike.
 	if stop := h.stop.Load(); stop != nil && stop.Phase(h.components.Now(), 1) >= drain.PhaseRefusing {
 		return &result.Error{Code: result.Draining, Hosts: h.otherHosts()}
 	}
--- a/join.go
+++ b/join.go
@@ -15,7 +15,7 @@
 func (h *Host) applyConfig(config *bundle.Config) {
 	h.components.HomeServer.Refresh()
 	h.components.Admission.Reconfigure(config)
-	h.components.CrashDetector.quarantine.Reconfigure(config)
+	h.components.CrashDetector.quarantineRegistry.Reconfigure(config)
 	update := h.components.Rollout.ConfigUpdate()
 	h.components.Member.AnnounceConfig(update.GetGeneration(), update.GetManifestHash())
 	h.components.Log.Info("configuration in force", zap.Uint64("generation", config.Generation))
--- a/load.go
+++ b/load.go
@@ -11,7 +11,7 @@
 // CPU share.
 const loadInterval = 500 * time.Millisecond
 
-// permille is the load of a saturated host.
+// permille is the load of a saturated host; loads are in thousandths of it.
 const permille = 1000
 
 // reportLoad publishes the host's load through the membership: the greater of CPU
--- a/server_registry.go
+++ b/server_registry.go
@@ -32,8 +32,8 @@
 	now          func() time.Time
 
 	events     chan func()
-	serverList       *catalog.ServerList
-	servers     []metastore.ListedHost // active
+	serverList *catalog.ServerList
+	servers    []metastore.ListedHost // in use, from serverList
 	drainTable *draining.Table
 }
 
@@ -115,7 +115,8 @@
 	s.log.Info("backend server is draining", zap.String("server", instance.Server), zap.Uint64("incarnation", instance.Incarnation), zap.String("source", source))
 }
 
-// publish passes the servers to the homes and to the placement of homes.
+// publish passes the servers to this host's homes, and their services to the
+// homeResolver, which determines the home of each.
 func (s *serverRegistry) publish() {
 	all := make([]backend.Server, 0, len(s.servers))
 	known := make(map[string][]homeserver.KnownServer)
--- a/status.go
+++ b/status.go
@@ -20,12 +20,12 @@
 	Zone        string       `json:"zone"`
 	Incarnation uint64       `json:"incarnation"`
 	Ready       bool         `json:"ready"`
-	Phase       string       `json:"phase"`
-	Refusal     string       `json:"refusal,omitempty"`
-	Generation  uint64       `json:"generation"`
-	Manifest    string       `json:"manifest,omitempty"`
-	Alarm       string       `json:"alarm,omitempty"`
-	InFlight    int          `json:"in_flight"`
+	Phase       string       `json:"phase"`              // of a planned stop
+	Refusal     string       `json:"refusal,omitempty"`  // why the host is not ready
+	Generation  uint64       `json:"generation"`         // of the active configuration
+	Manifest    string       `json:"manifest,omitempty"` // short hash of its manifest
+	Alarm       string       `json:"alarm,omitempty"`    // configuration problem that needs an operator
+	InFlight    int          `json:"in_flight"`          // callers' requests and peers' legs
 	Hosts       []HostStatus `json:"hosts"`
 	// Quarantine lists the requests refused for crashing backend servers.
 	Quarantine []quarantine.Entry `json:"quarantine,omitempty"`
@@ -53,7 +53,7 @@
 		Alarm:       h.components.Rollout.Alarm(),
 		InFlight:    h.workInFlight(),
 	}
-	s.Quarantine = h.components.CrashDetector.quarantine.Entries(h.components.Now())
+	s.Quarantine = h.components.CrashDetector.quarantineRegistry.Entries(h.components.Now())
 	if ref := h.components.Rollout.ActiveRef(); !ref.IsZero() {
 		s.Generation = ref.Generation
 		s.Manifest = ref.Hash.Short()
@@ -90,7 +90,7 @@
 func (h *Host) registerHostMetrics() error {
 	return observe.RegisterGauges(h.components.Registry, observe.GaugeSources{
 		Admission:  h.components.Admission.Stats,
-		Quarantine: func() int { return len(h.components.CrashDetector.quarantine.Entries(h.components.Now())) },
+		Quarantine: func() int { return len(h.components.CrashDetector.quarantineRegistry.Entries(h.components.Now())) },
 		Phase:      h.stopPhase,
 		Ready:      func() bool { return h.Ready() == nil && h.stop.Load() == nil },
 
