--- a/backend/backend.go
+++ b/backend/backend.go
@@ -63,18 +63,19 @@
 // Fault says why an attempt produced no usable reply.
 type Fault uint8
 
-// The faults of an attempt. Each comment ends with the resulting outcome.
+// The faults of an attempt. Metrics and peers identify them by number. Each comment
+// ends with the usual outcome; a call of which nothing was sent is always unsent.
 const (
 	FaultNone             Fault = iota
 	FaultUnreachable            // no connection could be opened: unsent
-	FaultConnectionLimit        // the server's connection limit is reached: unsent
+	FaultConnectionLimit        // the server's connection limit is reached: unsent, or refused by the server
 	FaultShed                   // the server is overloaded: refused
 	FaultDraining               // the server is leaving: refused
 	FaultSnapshotNotHeld        // the server doesn't hold the snapshot: refused
-	FaultDeadline               // no reply before the deadline: unknown
+	FaultDeadline               // no reply before the deadline: unknown, or refused by the server
 	FaultCancelled              // cancelled by this host: unknown
-	FaultUnresponsive           // no data arrived and the server doesn't know the call: unknown
-	FaultConnectionLost         // the connection was lost after sending: unknown
+	FaultUnresponsive           // no data arrived, and a probe failed or didn't find the call: unknown
+	FaultConnectionLost         // the connection was lost after sending, or the HTTP status is unexpected: unknown
 	FaultCorruptReply           // the body's length or digest is wrong: unknown
 	FaultMisroutedReply         // the echoed ids are another request's: unknown
 	FaultSnapshotMismatch       // answered from another snapshot: ran, not usable
@@ -83,12 +84,13 @@
 	FaultNotAllowed             // the eligibility rules exclude the server: unsent
 )
 
+// faultNames are the names in logs; they are stable and may differ from the constants'.
 var faultNames = [...]string{
 	"none", "unreachable", "connection_limit", "shed", "draining", "snapshot_not_held", "deadline", "cancelled",
 	"silent", "broken", "half_reply", "crossed", "snapshot_mismatch", "server", "peer_lost", "not_allowed",
 }
 
-// String returns the fault's name as it appears in logs and metrics.
+// String returns the fault's name as it appears in logs.
 func (f Fault) String() string {
 	if int(f) >= len(faultNames) {
 		return "unknown"
--- a/backend/wire.go
+++ b/backend/wire.go
@@ -104,7 +104,7 @@
 	return string(out[:])
 }
 
-// Number of headers that SetCallHeaders and SetReplyHeaders set.
+// Initial capacities for the headers that SetCallHeaders and SetReplyHeaders set.
 const (
 	callHeaderCount  = 11
 	replyHeaderCount = 12
