--- a/bundle/manifest.go
+++ b/bundle/manifest.go
@@ -27,8 +27,8 @@
 	Format int `json:"format"`
 	// Generation is above the parent's; hosts never go back.
 	Generation uint64 `json:"generation"`
-	// Parent is the configuration that the author changed. The head moves only
-	// from the parent to this manifest.
+	// Parent is the configuration that the author changed. The store's head, which
+	// names the accepted manifest, moves only from the parent to this manifest.
 	Parent Ref `json:"parent"`
 	// Author is the signer who wrote the change; another signer must sign too.
 	Author string `json:"author"`
@@ -41,8 +41,9 @@
 	Parts    Parts `json:"parts"`
 }
 
-// Parts lists the content hashes of a bundle's documents. Items are distributed
-// over the parts of their kind by a hash of their name.
+// Parts lists the content hashes of the stored documents into which Split divides a
+// bundle's Documents. Items are distributed over the parts of their kind by a hash
+// of their name.
 type Parts struct {
 	// Base holds the classes, policy and quarantine overrides.
 	Base     Hash   `json:"base"`
