--- a/settings/settings.go
+++ b/settings/settings.go
@@ -72,7 +72,7 @@
 type Limits struct {
 	MaxBodyBytes      int           `yaml:"max_body_bytes" validate:"min=1024,max=16777216"`        // of one request
 	MaxConcurrent     int           `yaml:"max_concurrent" validate:"min=1,max=100000"`             // requests at once
-	MaxBytesInFlight  int           `yaml:"max_bytes_in_flight" validate:"min=1024,max=4294967296"` // bodies of all requests at once
+	MaxBytesInFlight  int           `yaml:"max_bytes_in_flight" validate:"min=1024,max=4294967296"` // bodies of all requests at once; validated, but not applied
 	HeaderTimeout     time.Duration `yaml:"header_timeout" validate:"min=100ms,max=1m"`             // to read a request's header
 	BodyTimeout       time.Duration `yaml:"body_timeout" validate:"min=100ms,max=5m"`               // to read a whole request
 	StopTimeout       time.Duration `yaml:"stop_wait" validate:"min=1s,max=10m"`                    // bound on a planned stop
