--- a/client/client.go
+++ b/client/client.go
@@ -108,7 +108,8 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Query runs a search. The context must have a deadline. A refused or failed
-// search returns *result.Error; any other error means that no reply was received.
+// search returns *result.Error; any other error means that the arguments are invalid
+// or that no valid reply was received.
 func (c *Client) Query(ctx context.Context, route string, q Query) (*Answer, error) {
 	remaining, err := c.remainingTime(ctx)
 	if err != nil {
