--- a/standin/backend_faults.go
+++ b/standin/backend_faults.go
@@ -26,7 +26,8 @@
 	TruncatedReplies int `json:"half_replies"`
 	// CorruptReplies changes a byte of the body but not its digest.
 	CorruptReplies int `json:"corrupt_replies"`
-	// MisroutedReplies sends the reply to another request.
+	// MisroutedReplies replies with the reply to an earlier request, or with another
+	// request id if there is none.
 	MisroutedReplies int `json:"crossed_replies"`
 	// LostReplies runs the call and closes the connection without a reply.
 	LostReplies int `json:"lost_replies"`
