--- a/status.go
+++ b/status.go
@@ -37,8 +37,8 @@
 	Zone         string `json:"zone"`
 	State        string `json:"state"`
 	LoadPermille uint32 `json:"load_permille"`
-	Callers      string `json:"callers"`
-	Peers        string `json:"peers"`
+	Callers      string `json:"callers"` // address of the caller listener
+	Peers        string `json:"peers"`   // address of the peer listener
 }
 
 // Status returns the host's current view.
