--- a/ident/ident.go
+++ b/ident/ident.go
@@ -42,7 +42,8 @@
 	return string(id[:]) < string(other[:])
 }
 
-// AttemptID numbers the attempts of one host incarnation, starting at 1.
+// AttemptID identifies an attempt within one incarnation of a host. Each home on the
+// host numbers its attempts in a range of its own.
 type AttemptID uint64
 
 // HostID is the name of an entry host, from its settings. It is kept across
