--- a/host.go
+++ b/host.go
@@ -195,8 +195,7 @@
 	if h.Config() == nil {
 		return &result.Error{Code: result.NotReady, Hosts: h.otherHosts()}
 	}
-	// The count of 1 stands for this request. New work is refused in the phases
-	// refusing and done alike.
+	// Any count does: it only tells refusing from done, and both refuse new work.
 	if stop := h.stop.Load(); stop != nil && stop.Phase(h.components.Now(), 1) >= drain.PhaseRefusing {
 		return &result.Error{Code: result.Draining, Hosts: h.otherHosts()}
 	}
