--- a/server_registry.go
+++ b/server_registry.go
@@ -32,8 +32,8 @@
 	now          func() time.Time
 
 	events     chan func()
-	list       *catalog.ServerList
-	listed     []metastore.ListedHost // active
+	serverList *catalog.ServerList
+	servers    []metastore.ListedHost // in use, from serverList
 	drainTable *draining.Table
 }
 
@@ -52,7 +52,7 @@
 // Servers implements catalog.Sink.
 func (s *serverRegistry) Servers(listed []metastore.ListedHost) {
 	s.events <- func() {
-		s.listed = s.list.Update(s.now(), listed)
+		s.servers = s.serverList.Update(s.now(), listed)
 		for _, instance := range s.drainTable.ApplyHostList(s.now(), listed) {
 			s.announceDraining(instance, "host list")
 		}
@@ -115,11 +115,12 @@
 	s.log.Info("backend server is draining", zap.String("server", instance.Server), zap.Uint64("incarnation", instance.Incarnation), zap.String("source", source))
 }
 
-// publish passes the servers to the homes and to the placement of homes.
+// publish passes the servers to this host's homes, and their services to the
+// homeResolver, which determines the home of each.
 func (s *serverRegistry) publish() {
-	all := make([]backend.Server, 0, len(s.listed))
+	all := make([]backend.Server, 0, len(s.servers))
 	known := make(map[string][]homeserver.KnownServer)
-	for _, row := range s.listed {
+	for _, row := range s.servers {
 		server := backend.Server{
 			Name:        row.Name,
 			Address:     row.Address,
