--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -68,8 +68,8 @@
 	// Watchers returns the peer addresses of watchers to ask, preferred ones first.
 	Watchers func() []string
 	// Epoch is this host's incarnation.
-	Epoch uint64
-	Log   *zap.Logger
+	Epoch  uint64
+	Logger *zap.Logger
 }
 
 // Agent keeps the catalog of one host up to date. While neither the platform nor a
@@ -145,7 +145,7 @@
 		a.lastContact.Store(time.Now().UnixNano())
 	}
 	if reached := err == nil; a.platformReached.Swap(reached) != reached {
-		a.config.Log.Info("platform reachability changed", zap.Bool("reached", reached), zap.Error(err))
+		a.config.Logger.Info("platform reachability changed", zap.Bool("reached", reached), zap.Error(err))
 	}
 }
 
--- a/cli/load.go
+++ b/cli/load.go
@@ -36,9 +36,9 @@
 	flags := command.Flags()
 	flags.StringVar(&f.shape, "shape", "plakatna", "workload: plakatna or vltava")
 	flags.IntVar(&f.options.Hosts, "hosts", 7, "number of entry hosts")
-	flags.Float64Var(&f.options.Share, "load", 0.7, "offered load as a fraction of all slots")
+	flags.Float64Var(&f.options.Utilization, "load", 0.7, "offered load as a fraction of all slots")
 	flags.Float64Var(&f.options.Scale, "scale", 4, "factor for service times and deadlines; divides the arrival rate")
-	flags.DurationVar(&f.options.For, "for", 30*time.Second, "how long to send requests")
+	flags.DurationVar(&f.options.Duration, "for", 30*time.Second, "how long to send requests")
 	flags.DurationVar(&f.options.Warmup, "warmup", 3*time.Second, "initial time excluded from the statistics, not from the checks")
 	flags.Uint64Var(&f.options.Seed, "seed", 1, "random seed of arrivals and service times")
 	flags.StringVar(&f.faults, "faults", "none", "file with a timeline of faults, or a preset: none, slow, all")
@@ -90,20 +90,20 @@
 	if !slices.Contains([]string{outputText, outputJSON}, f.output) {
 		return errors.Errorf("--output %q: use %s or %s", f.output, outputText, outputJSON)
 	}
-	f.options.Tier = f.only == ""
-	f.options.Direct = f.only != "" || f.compare != ""
+	f.options.RunTier = f.only == ""
+	f.options.RunDirect = f.only != "" || f.compare != ""
 	f.options.Progress = cmd.ErrOrStderr()
 	return f.readFaults()
 }
 
 func (f *loadFlags) readFaults() error {
-	events, known := load.Preset(f.faults, f.options.Shape, f.options.For)
+	events, known := load.Preset(f.faults, f.options.Shape, f.options.Duration)
 	if known {
 		f.options.Events = events
 		return nil
 	}
 	if _, err := os.Stat(f.faults); err != nil {
-		return errors.Errorf("--faults %q: neither a preset (%v) nor a file", f.faults, load.Presets)
+		return errors.Errorf("--faults %q: neither a preset (%v) nor a file", f.faults, load.PresetNames)
 	}
 	var err error
 	f.options.Events, err = load.ReadFaults(f.faults)
--- a/components_traffic.go
+++ b/components_traffic.go
@@ -94,7 +94,7 @@
 		IsWatcher: func() bool { return members.View().IsWatcher(s.Host.Zone, watchersPerZone) },
 		Watchers:  func() []string { return watcherAddresses(members.View(), s.Host.Zone, s.Peers) },
 		Epoch:     uint64(incarnation),
-		Log:       log,
+		Logger:    log,
 	})
 }
 
--- a/load/event.go
+++ b/load/event.go
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// Presets are the names that Preset accepts.
-var Presets = []string{"none", "slow", "all"}
+// PresetNames are the names that Preset accepts.
+var PresetNames = []string{"none", "slow", "all"}
 
 // Preset returns the named timeline for a run of the given length; false if
 // there is none of that name.
--- a/load/load.go
+++ b/load/load.go
@@ -27,17 +27,17 @@
 type Options struct {
 	Shape Shape
 	Hosts int
-	// Share is the utilization of all slots that the arrivals aim at.
-	Share float64
+	// Utilization is the utilization of all slots that the arrivals aim at.
+	Utilization float64
 	// Scale multiplies service times and deadlines and divides the arrival rate.
-	Scale  float64
-	For    time.Duration
-	Warmup time.Duration // excluded from the figures, not from the checks
-	Seed   uint64
-	Events []Event
-	// Tier and Direct select the sides to run.
-	Tier, Direct bool
-	Policy       bundle.Policy
+	Scale    float64
+	Duration time.Duration
+	Warmup   time.Duration // excluded from the figures, not from the checks
+	Seed     uint64
+	Events   []Event
+	// RunTier and RunDirect select the sides to run.
+	RunTier, RunDirect bool
+	Policy             bundle.Policy
 	// Progress receives a line each second; nil disables it.
 	Progress io.Writer
 	Logger   *zap.Logger
@@ -114,18 +114,18 @@
 }
 
 func (r *run) open(ctx context.Context) error {
-	if !r.options.Tier && !r.options.Direct {
-		return errors.New("load: neither Tier nor Direct is set")
+	if !r.options.RunTier && !r.options.RunDirect {
+		return errors.New("load: neither RunTier nor RunDirect is set")
 	}
 	if err := checkEvents(r.options.Events, r.shape, r.shape.serverNames()); err != nil {
 		return err
 	}
-	if r.options.Tier {
+	if r.options.RunTier {
 		if err := r.openTier(ctx); err != nil {
 			return err
 		}
 	}
-	if r.options.Direct {
+	if r.options.RunDirect {
 		return r.openDirect(ctx)
 	}
 	return nil
@@ -212,7 +212,7 @@
 	r.startInjector(ctx)
 	go r.progress(ctx)
 	go r.observeGenerations(ctx)
-	newArrivals(r.shape, r.options.Share, r.options.Seed).run(ctx, r.start, r.options.For, r.send)
+	newArrivals(r.shape, r.options.Utilization, r.options.Seed).run(ctx, r.start, r.options.Duration, r.send)
 	r.work.Wait()
 	cpuUsed := cpuTime() - cpuBefore
 	time.Sleep(settleDelay)
--- a/load/report.go
+++ b/load/report.go
@@ -94,11 +94,11 @@
 func (r *run) report(cpuUsed time.Duration) *Report {
 	opts := r.options
 	report := &Report{
-		Shape: opts.Shape.Name, Hosts: opts.Hosts, Share: opts.Share, Scale: opts.Scale,
-		For: opts.For.String(), Seed: opts.Seed,
+		Shape: opts.Shape.Name, Hosts: opts.Hosts, Share: opts.Utilization, Scale: opts.Scale,
+		For: opts.Duration.String(), Seed: opts.Seed,
 		Events:        r.injector.applied,
 		SenderLateP99: r.senderDelayP99(),
-		CPUCores:      cpuUsed.Seconds() / opts.For.Seconds(),
+		CPUCores:      cpuUsed.Seconds() / opts.Duration.Seconds(),
 		PeakMemory:    peakMemory(),
 	}
 	runs := 0
