--- a/load/direct.go
+++ b/load/direct.go
@@ -65,7 +65,7 @@
 		inFlight: make([]atomic.Int64, len(d.cluster.Backends)),
 	}
 	for _, group := range d.shape.Groups {
-		share := max(1, group.Connections/d.callersOf(group.Index))
+		share := max(1, group.Connections/d.callerCount(group.Index))
 		for range group.Services * group.Servers {
 			c.slots = append(c.slots, make(chan struct{}, share))
 		}
@@ -73,9 +73,9 @@
 	return c
 }
 
-// callersOf returns the number of callers that use an index and share its
+// callerCount returns the number of callers that use an index and share its
 // connections.
-func (d *direct) callersOf(index string) int {
+func (d *direct) callerCount(index string) int {
 	roles := make(map[string]bool)
 	count := 0
 	for _, stream := range d.shape.Streams {
--- a/load/print.go
+++ b/load/print.go
@@ -24,7 +24,7 @@
 
 // WriteText writes the report as text tables.
 func (r *Report) WriteText(w io.Writer) {
-	fmt.Fprintf(w, "\nshape %s, %d hosts, %.0f%% of slots, times x%g, %s, seed %d\n", r.Shape, r.Hosts, 100*r.Share, r.Scale, r.For, r.Seed)
+	fmt.Fprintf(w, "\nshape %s, %d hosts, %.0f%% of slots, times x%g, %s, seed %d\n", r.Shape, r.Hosts, 100*r.Utilization, r.Scale, r.For, r.Seed)
 	for _, side := range r.Sides {
 		side.writeText(w)
 	}
@@ -32,7 +32,7 @@
 		fmt.Fprintf(w, "tier / direct  %-12s p50 %.2f  p99 %.2f  p99.9 %.2f\n", ratio.Name, ratio.P50, ratio.P99, ratio.P999)
 	}
 	fmt.Fprintf(w, "processor: %.1f cores, %.0f us for each backend run (callers and stand-ins included); peak memory %d MB; sender late by p99 %.1f ms\n",
-		r.CPUCores, r.CPUPerLeg, r.PeakMemory>>20, r.SenderLateP99)
+		r.CPUCores, r.CPUPerRun, r.PeakMemory>>20, r.SenderLateP99)
 	r.writeViolations(w)
 }
 
--- a/load/report.go
+++ b/load/report.go
@@ -18,12 +18,12 @@
 
 // Report is the result of a run. Times are in milliseconds unless noted.
 type Report struct {
-	Shape string  `json:"shape"`
-	Hosts int     `json:"hosts"`
-	Share float64 `json:"share"`
-	Scale float64 `json:"scale"`
-	For   string  `json:"for"`
-	Seed  uint64  `json:"seed"`
+	Shape       string  `json:"shape"`
+	Hosts       int     `json:"hosts"`
+	Utilization float64 `json:"share"`
+	Scale       float64 `json:"scale"`
+	For         string  `json:"for"`
+	Seed        uint64  `json:"seed"`
 	// Sides that ran, in the order tier, direct.
 	Sides []SideReport `json:"sides"`
 	// Ratios are the latencies of tier divided by those of direct.
@@ -32,10 +32,10 @@
 	// SenderLateP99 is the delay of the load generator's own sends. Above a few
 	// milliseconds the load generator limits the run.
 	SenderLateP99 float64 `json:"sender_late_p99_ms"`
-	// CPUPerLeg is the CPU time of the process for each backend run, in
+	// CPUPerRun is the CPU time of the process for each backend run, in
 	// microseconds, including callers and stand-ins. CPUCores is the mean number
 	// of cores in use.
-	CPUPerLeg  float64 `json:"cpu_per_leg_us"`
+	CPUPerRun  float64 `json:"cpu_per_leg_us"`
 	CPUCores   float64 `json:"cpu_cores"`
 	PeakMemory int64   `json:"peak_memory_bytes"`
 	// PoisonRuns counts the runs of poison requests that crashed a server.
@@ -61,8 +61,8 @@
 	// Refused counts the calls that backend servers refused.
 	Refused uint64 `json:"refused_calls"`
 	// ExtraLoad is Runs/Legs - 1.
-	ExtraLoad float64 `json:"extra_load"`
-	Slowest   []Slow  `json:"slowest,omitempty"`
+	ExtraLoad float64       `json:"extra_load"`
+	Slowest   []SlowRequest `json:"slowest,omitempty"`
 
 	seconds []*second
 	rows    map[string]*row
@@ -94,7 +94,7 @@
 func (r *run) report(cpuUsed time.Duration) *Report {
 	opts := r.options
 	report := &Report{
-		Shape: opts.Shape.Name, Hosts: opts.Hosts, Share: opts.Utilization, Scale: opts.Scale,
+		Shape: opts.Shape.Name, Hosts: opts.Hosts, Utilization: opts.Utilization, Scale: opts.Scale,
 		For: opts.Duration.String(), Seed: opts.Seed,
 		Events:        r.injector.applied,
 		SenderLateP99: r.senderDelayP99(),
@@ -107,7 +107,7 @@
 		runs += side.cluster.Record.Count()
 		report.Sides = append(report.Sides, sideReport)
 	}
-	report.CPUPerLeg = float64(cpuUsed.Microseconds()) / float64(max(runs, 1))
+	report.CPUPerRun = float64(cpuUsed.Microseconds()) / float64(max(runs, 1))
 	if len(report.Sides) == 2 {
 		tier, direct := report.Sides[0], report.Sides[1]
 		report.Ratios = append(ratios(tier.Rows, direct.Rows), ratios(tier.Routes, direct.Routes)...)
--- a/load/stats.go
+++ b/load/stats.go
@@ -37,11 +37,11 @@
 	late    int
 	legs    int
 	lateIDs []string
-	slowest []Slow // longest first
+	slowest []SlowRequest // longest first
 }
 
-// Slow describes one of the slowest requests.
-type Slow struct {
+// SlowRequest describes one of the slowest requests.
+type SlowRequest struct {
 	Request string  `json:"request"`
 	Route   string  `json:"route"`
 	Code    string  `json:"code"`
@@ -65,11 +65,11 @@
 	if o.request == "" || len(st.slowest) == maxSlowest && took <= st.slowest[maxSlowest-1].Took {
 		return
 	}
-	st.slowest = append(st.slowest, Slow{
+	st.slowest = append(st.slowest, SlowRequest{
 		Request: o.request, Route: r.stream.Route, Code: o.code,
 		At: r.intended.Sub(st.start).Seconds(), Took: took, intended: r.intended,
 	})
-	slices.SortFunc(st.slowest, func(a, b Slow) int { return cmp.Compare(b.Took, a.Took) })
+	slices.SortFunc(st.slowest, func(a, b SlowRequest) int { return cmp.Compare(b.Took, a.Took) })
 	st.slowest = st.slowest[:min(len(st.slowest), maxSlowest)]
 }
 
