--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// request is one arrival; both sides of a comparison get the same ones.
+// request is one arrival; the entry hosts and the direct callers get the same ones.
 type request struct {
 	stream Stream
 	caller string
@@ -40,10 +40,10 @@
 	count  int
 }
 
-func newArrivals(shape Shape, share float64, seed uint64) *arrivals {
+func newArrivals(shape Shape, utilization float64, seed uint64) *arrivals {
 	a := &arrivals{shape: shape, random: rand.New(rand.NewPCG(seed, 1))}
 	for _, group := range shape.Groups {
-		arrivalRate := shape.arrivalRate(group, share)
+		arrivalRate := shape.arrivalRate(group, utilization)
 		a.rates = append(a.rates, arrivalRate)
 		a.total += arrivalRate
 	}
--- a/load/load.go
+++ b/load/load.go
@@ -27,7 +27,7 @@
 type Options struct {
 	Shape Shape
 	Hosts int
-	// Utilization is the utilization of all slots that the arrivals aim at.
+	// Utilization is the intended utilization of the backend servers' slots, 0 to 1.
 	Utilization float64
 	// Scale multiplies service times and deadlines and divides the arrival rate.
 	Scale    float64
@@ -262,8 +262,8 @@
 		}
 		line := fmt.Sprintf("%5.1f s", time.Since(r.start).Seconds())
 		for _, s := range r.sides {
-			requests, answers := s.stats.counts()
-			line += fmt.Sprintf("  %s: %d replies, %d answers, %d in flight", s.name, requests, answers, s.inFlight.Load())
+			finished, answered := s.stats.counts()
+			line += fmt.Sprintf("  %s: %d requests finished, %d answered, %d in flight", s.name, finished, answered, s.inFlight.Load())
 		}
 		fmt.Fprintln(r.options.Progress, line)
 	}
--- a/load/plot.go
+++ b/load/plot.go
@@ -98,7 +98,7 @@
 }
 
 func (r *Report) plotExtraLoad(p *plot.Plot) error {
-	p.Title.Text = "Backend runs above the legs that had to run"
+	p.Title.Text = "Backend runs beyond the needed ones"
 	p.X.Label.Text = "s"
 	p.Y.Label.Text = "share"
 	for n, side := range r.Sides {
--- a/load/report.go
+++ b/load/report.go
@@ -54,8 +54,8 @@
 	Late    int      `json:"late_answers"`
 	LateIDs []string `json:"late_request_ids,omitempty"`
 	Dropped int64    `json:"not_sent"`
-	// Runs counts the runs of queries at backend servers, Legs the legs that had
-	// to run.
+	// Runs counts the runs of queries at backend servers, Legs the runs that were
+	// needed: one for each shard of a query.
 	Runs int `json:"runs"`
 	Legs int `json:"legs"`
 	// Refused counts the calls that backend servers refused.
--- a/load/shape.go
+++ b/load/shape.go
@@ -65,11 +65,11 @@
 	return t.Base + t.Mean + scaleDuration(t.Straggler, t.StragglerShare)
 }
 
-// arrivalRate returns the requests per second of the group's streams that use the
-// share of its slots: a query takes a slot in every service, a booking in one.
-func (s Shape) arrivalRate(g testbed.ServiceGroup, share float64) float64 {
+// arrivalRate returns the requests per second of the group's streams that cause the
+// utilization of its slots: a query takes a slot in every service, a booking in one.
+func (s Shape) arrivalRate(g testbed.ServiceGroup, utilization float64) float64 {
 	perService := float64(g.Servers*g.Slots) / meanServiceTime(g.Time).Seconds()
-	return share * perService / s.legsPerService(g)
+	return utilization * perService / s.legsPerService(g)
 }
 
 // legsPerService returns the mean number of legs that a request of the group's
--- a/load/stats.go
+++ b/load/stats.go
@@ -198,15 +198,16 @@
 	return total
 }
 
-// counts returns the totals so far for the progress output.
-func (st *stats) counts() (requests, answers int) {
+// counts returns how many requests have finished so far, and how many of these
+// were answered.
+func (st *stats) counts() (finished, answered int) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for _, s := range st.seconds {
-		answers += s.answers
+		answered += s.answers
 		for _, times := range s.times {
-			requests += int(times.TotalCount())
+			finished += int(times.TotalCount())
 		}
 	}
-	return requests, answers
+	return finished, answered
 }
