--- a/bench/result.go
+++ b/bench/result.go
@@ -25,9 +25,9 @@
 	Legs, Sent, Run, Refused int
 	// Busy is the total slot time used on backend servers.
 	Busy time.Duration
-	// Late counts replies for legs or queries that had ended.
-	Late       int
-	FailedLegs map[result.Code]int
+	// LateReplies counts replies for legs or queries that had ended.
+	LateReplies int
+	FailedLegs  map[result.Code]int
 }
 
 // Group holds the figures of a set of queries.
@@ -198,7 +198,7 @@
 
 func (r *Result) countLate(leg *Leg) {
 	if leg.Query.measured {
-		r.Late++
+		r.LateReplies++
 	}
 }
 
