--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,7 +1,9 @@
 // Package bench is a discrete-event simulation of admission and scheduling under
 // load: simulated backend servers, entry hosts with open-loop Poisson arrivals,
-// and a policy that routes and queues each leg. Runs take place in virtual time
-// and are deterministic for a seed.
+// and a policy that routes and queues each leg, a query's part for one service.
+// The home policy gives each service a home: the entry host that sends its legs to
+// the backend servers. Runs take place in virtual time and are deterministic for a
+// seed.
 //
 // To add a policy, implement Policy and add a PolicySpec to Policies or to a Case.
 // The policy receives legs through Submit and Cancel, calls backend servers with
--- a/bench/result.go
+++ b/bench/result.go
@@ -32,10 +32,13 @@
 
 // Group holds the figures of a set of queries.
 type Group struct {
+	// Lost queries ended while their entry host was down, or not within the run.
 	Arrived, Refused, Lost int
-	Ended, Full            int
-	Legs, Answered         int
-	AfterDeadline          int
+	// Ended counts the answers, Full those with every shard.
+	Ended, Full int
+	// Legs counts the legs of the answers, Answered those with a reply.
+	Legs, Answered int
+	AfterDeadline  int
 	// InTime counts the answers by the soft deadline with the minimum coverage.
 	InTime int
 	// InTimeWork is the sum over these of the mean service time of a leg.
