--- a/bench/capacity/agents_test.go
+++ b/bench/capacity/agents_test.go
@@ -104,6 +104,7 @@
 		time.Sleep(time.Second)
 	}
 	seconds := float64(b.N * hosts)
+	// Each byte is sent by one host and received by another, but counted once.
 	b.ReportMetric(2*float64(bytes.Load())/seconds, "bytes/host-second")
 	b.ReportMetric(float64(connections.Load())/seconds, "connections/host-second")
 	b.ReportMetric(float64(cpuTime()-cpuBefore)/seconds, "cpu-ns/host-second")
