--- a/load/stats.go
+++ b/load/stats.go
@@ -37,11 +37,11 @@
 	late    int
 	legs    int
 	lateIDs []string
-	slowest []Slow // longest first
+	slowest []SlowRequest // longest first
 }
 
-// Slow describes one of the slowest requests.
-type Slow struct {
+// SlowRequest describes one of the slowest requests.
+type SlowRequest struct {
 	Request string  `json:"request"`
 	Route   string  `json:"route"`
 	Code    string  `json:"code"`
@@ -65,11 +65,11 @@
 	if o.request == "" || len(st.slowest) == maxSlowest && took <= st.slowest[maxSlowest-1].Took {
 		return
 	}
-	st.slowest = append(st.slowest, Slow{
+	st.slowest = append(st.slowest, SlowRequest{
 		Request: o.request, Route: r.stream.Route, Code: o.code,
 		At: r.intended.Sub(st.start).Seconds(), Took: took, intended: r.intended,
 	})
-	slices.SortFunc(st.slowest, func(a, b Slow) int { return cmp.Compare(b.Took, a.Took) })
+	slices.SortFunc(st.slowest, func(a, b SlowRequest) int { return cmp.Compare(b.Took, a.Took) })
 	st.slowest = st.slowest[:min(len(st.slowest), maxSlowest)]
 }
 
@@ -198,15 +198,16 @@
 	return total
 }
 
-// counts returns the totals so far for the progress output.
-func (st *stats) counts() (requests, answers int) {
+// counts returns how many requests have finished so far, and how many of these
+// were answered.
+func (st *stats) counts() (finished, answered int) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for _, s := range st.seconds {
-		answers += s.answers
+		answered += s.answers
 		for _, times := range s.times {
-			requests += int(times.TotalCount())
+			finished += int(times.TotalCount())
 		}
 	}
-	return requests, answers
+	return finished, answered
 }
