--- a/stop.go
+++ b/stop.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := h.components.Member.Leave(ctx); err != nil {
-		h.components.Log.Warn("announcing the stop to peers failed", zap.Error(err))
+		h.components.Log.Warn("failed to announce the stop to peers", zap.Error(err))
 	}
 }
 
