--- a/load/inject.go
+++ b/load/inject.go
@@ -146,7 +146,7 @@
 	}
 	hosts := in.cluster.Hosts()
 	if len(hosts) < 2 {
-		in.record(e, "skipped: only one host is left")
+		in.record(e, "left out: one host is left")
 		return
 	}
 	oldest := hosts[0]
@@ -218,7 +218,7 @@
 		})
 	}
 	group.Wait()
-	in.record(e, fmt.Sprintf("accepted %d, conflicts %d, outcome unknown %d", accepted, conflicts, unknown))
+	in.record(e, fmt.Sprintf("accepted %d, conflicts %d, open %d", accepted, conflicts, unknown))
 }
 
 // repartition publishes an index version in which every shard belongs to another
