--- a/bench/result.go
+++ b/bench/result.go
@@ -25,17 +25,20 @@
 	Legs, Sent, Run, Refused int
 	// Busy is the total slot time used on backend servers.
 	Busy time.Duration
-	// Late counts replies for legs or queries that had ended.
-	Late       int
-	FailedLegs map[result.Code]int
+	// LateReplies counts replies for legs or queries that had ended.
+	LateReplies int
+	FailedLegs  map[result.Code]int
 }
 
 // Group holds the figures of a set of queries.
 type Group struct {
+	// Lost queries ended while their entry host was down, or not within the run.
 	Arrived, Refused, Lost int
-	Ended, Full            int
-	Legs, Answered         int
-	AfterDeadline          int
+	// Ended counts the answers, Full those with every shard.
+	Ended, Full int
+	// Legs counts the legs of the answers, Answered those with a reply.
+	Legs, Answered int
+	AfterDeadline  int
 	// InTime counts the answers by the soft deadline with the minimum coverage.
 	InTime int
 	// InTimeWork is the sum over these of the mean service time of a leg.
@@ -198,7 +201,7 @@
 
 func (r *Result) countLate(leg *Leg) {
 	if leg.Query.measured {
-		r.Late++
+		r.LateReplies++
 	}
 }
 
