--- a/gateway/merge.go
+++ b/gateway/merge.go
@@ -20,7 +20,7 @@
 // part is fetched, or dropped from the answer and counted as missing.
 func merge(ctx context.Context, r *route.Route, answer *scatter.Answer) *Merged {
 	parts := answer.Parts
-	minParts := max(scatter.RequiredShards(r.MinShardShare, answer.Total), 1)
+	minParts := max(scatter.RequiredShards(r.MinCoverage, answer.Total), 1)
 	for {
 		if len(parts) < minParts {
 			return failCoverage(answer)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -142,7 +142,7 @@
 	}
 	if r.IsFanout() {
 		plan.Snapshot = c.shards[r]
-		plan.MinCoverage = r.MinShardShare
+		plan.MinCoverage = r.MinCoverage
 		plan.Prefer = bundle.PreferLatency
 		q.Forward.Merge = &forward.Merge{TopK: r.TopK, Services: len(r.Shards)}
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -62,8 +62,8 @@
 	Shards []string
 	// TopK is the number of records in an answer of a fan-out route.
 	TopK int
-	// MinShardShare is the share of shards, 0 to 1, below which there is no answer.
-	MinShardShare float64
+	// MinCoverage is the share of shards, 0 to 1, below which there is no answer.
+	MinCoverage float64
 	// Regions are the regions whose backend servers may run requests; empty: any.
 	Regions []string
 }
@@ -118,8 +118,8 @@
 		return errors.New("a fan-out route must state the number of records to return")
 	case r.IsFanout() && !r.Idempotent:
 		return errors.New("a fan-out route must be idempotent")
-	case r.MinShardShare < 0 || r.MinShardShare > 1:
-		return errors.Errorf("minimum share of shards %v is not between 0 and 1", r.MinShardShare)
+	case r.MinCoverage < 0 || r.MinCoverage > 1:
+		return errors.Errorf("minimum share of shards %v is not between 0 and 1", r.MinCoverage)
 	case r.Timeout < 0 || r.TargetLatency < 0:
 		return errors.New("timeout or target latency is negative")
 	}
